--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -126,7 +126,7 @@
     rng = random.Random(seed)
     order = rollout.Order("s", "v2", LENGTH_S, 0.0)
     decided = rollout.Rollout(order)
-    answers: list[tuple[float, int, bool, rollout.Answer]] = []
+    answers: list[tuple[float, int, bool, rollout.Response]] = []
     old_running = 0
     decided_s = math.inf
     now, ticked_at, number, failures = 0.0, 0.0, 0, 0
@@ -137,16 +137,16 @@
             _, _, was_old, answer = heapq.heappop(answers)
             old_running -= was_old
             failures += answer.is_new and answer.failed
-            decided.take(answer)
+            decided.record_response(answer)
         while ticked_at + TICK_S <= now:
             ticked_at += TICK_S
-            decided.decide(
-                rollout.Places(PLACES, PLACES, old_running), ticked_at
+            decided.advance(
+                rollout.Capacity(PLACES, PLACES, old_running), ticked_at
             )
         if decided.state.is_final and decided_s == math.inf:
             decided_s = now
         is_new = _choose(decided)
-        decided.note_sent(is_new)
+        decided.count_request(is_new)
         lately = [*lately[-49:], is_new]
         old_running += not is_new
         share = sum(lately) / len(lately)
@@ -160,13 +160,13 @@
 
 def _choose(decided: rollout.Rollout) -> bool:
     """Returns whether the new release gets a request, as an owner chooses."""
-    decided.may_send("v1", 1.0)
-    return decided.may_send("v2", 1.0)
+    decided.may_receive("v1", 1.0)
+    return decided.may_receive("v2", 1.0)
 
 
 def _answer(
     kind: Kind, is_new: bool, age: float, share: float, rng: random.Random
-) -> tuple[rollout.Answer, float]:
+) -> tuple[rollout.Response, float]:
     route = rng.choice(ROUTES)
     part = kind.fails(route, age, share) if is_new else USUAL_FAILURES
     failed = rng.random() < part
@@ -174,7 +174,7 @@
     first = slower * math.exp(rng.gauss(0.0, SPREAD))
     pace = slower * PACE_S * math.exp(rng.gauss(0.0, SPREAD / 2))
     took_s = FIRST_S * first + 100 * pace
-    return rollout.Answer(is_new, route, failed, first, pace), took_s
+    return rollout.Response(is_new, route, failed, first, pace), took_s
 
 
 def _is_wrong(outcome: Outcome, wanted: rollout.State) -> bool:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -273,8 +273,8 @@
             key, attempt = f"{number:032x}", f"vm-12345678-{number}"
             digest = f"{number * 7:032x}"
             kind = claim.RecordKind
-            ledger.read(claim.ClaimRecord(kind.CLAIM, key, attempt, digest))
-            ledger.read(claim.ClaimRecord(kind.DONE, key, attempt, "", 200))
+            ledger.apply(claim.ClaimRecord(kind.CLAIM, key, attempt, digest))
+            ledger.apply(claim.ClaimRecord(kind.DONE, key, attempt, "", 200))
         return ledger
 
     return _measure_kept(make)
--- a/ramptray/command/blocked.py
+++ b/ramptray/command/blocked.py
@@ -59,7 +59,7 @@
         click.echo(line)
 
 
-def iterate_lines(blocks: Iterable[blocklist.BlockNews]) -> Iterator[str]:
+def iterate_lines(blocks: Iterable[blocklist.BlockUpdate]) -> Iterator[str]:
     """Yields a line for each block."""
     yield f"{'content':<26}{'left':>8}{'times':>7}{'crashes':>9}  state"
     for block in blocks:
@@ -74,7 +74,7 @@
 
 async def _ask(
     schedulers: tuple[str, ...], tls: settings.TlsSettings | None, content: str
-) -> list[blocklist.BlockNews]:
+) -> list[blocklist.BlockUpdate]:
     """Returns the blocks that any scheduler knows, longest first.
 
     Raises:
@@ -89,7 +89,7 @@
         answers = await found.ask_all(question, addresses)
     if not answers:
         raise CommandError("no scheduler answers")
-    merged: dict[str, blocklist.BlockNews] = {}
+    merged: dict[str, blocklist.BlockUpdate] = {}
     for answer in answers.values():
         for block in answer.blocks:
             known = merged.get(block.content)
--- a/ramptray/controller/leaseholder.py
+++ b/ramptray/controller/leaseholder.py
@@ -65,7 +65,7 @@
         except msgspec.ValidationError as error:
             LOG.warning("record is no lease: %s", error)
             return
-        self._lease.read(record.offset, parsed, steadyclock.read())
+        self._lease.apply_record(record.offset, parsed, steadyclock.read())
 
     async def _write(self) -> None:
         while True:
@@ -89,4 +89,4 @@
         if held != self._held:
             self._held = held
             LOG.info("lease", extra={"held": held})
-            self._on_change(held, self._lease.fencing)
+            self._on_change(held, self._lease.fencing_token)
--- a/ramptray/controller/reconciler.py
+++ b/ramptray/controller/reconciler.py
@@ -106,9 +106,9 @@
 
     async def _send(self, url: str, order: placement.Order) -> None:
         """Gives one order, if the lease still covers its flight."""
-        if not self._lease.may_order(steadyclock.read()):
+        if not self._lease.may_send_order(steadyclock.read()):
             return
-        fencing = self._lease.fencing
+        fencing = self._lease.fencing_token
         try:
             with anyio.fail_after(self._timeout_s):
                 await self._client.send(url, order, fencing)
--- a/ramptray/core/blocklist.py
+++ b/ramptray/core/blocklist.py
@@ -47,14 +47,14 @@
         """Returns whether the content may be tried again."""
         return self.lifted or now >= self.until
 
-    def overrules(self, other: Block) -> bool:
+    def supersedes(self, other: Block) -> bool:
         """Returns whether this is later word than the other's."""
         if self.level != other.level:
             return self.level > other.level
         return self.lifted and not other.lifted
 
 
-class BlockNews(msgspec.Struct, frozen=True):
+class BlockUpdate(msgspec.Struct, frozen=True):
     """A block as VMs tell it one another, who share no clock.
 
     Attributes:
@@ -72,7 +72,7 @@
     lifted: bool = False
 
 
-OnBlocks = Callable[[list[BlockNews]], None]
+BlockListener = Callable[[list[BlockUpdate]], None]
 
 
 class Blocklist:
@@ -80,21 +80,21 @@
 
     def __init__(self) -> None:
         self._blocks: dict[str, Block] = {}
-        self._listeners: list[OnBlocks] = []
-        self._decision_listeners: list[OnBlocks] = []
+        self._listeners: list[BlockListener] = []
+        self._decision_listeners: list[BlockListener] = []
 
     def __len__(self) -> int:
         return len(self._blocks)
 
-    def on_change(self, listener: OnBlocks) -> None:
+    def on_change(self, listener: BlockListener) -> None:
         """Has a listener told of whatever is new."""
         self._listeners.append(listener)
 
-    def on_decision(self, listener: OnBlocks) -> None:
+    def on_decision(self, listener: BlockListener) -> None:
         """Has a listener told of what is decided here."""
         self._decision_listeners.append(listener)
 
-    def get_left(self, content: str, now: float) -> float:
+    def get_remaining_s(self, content: str, now: float) -> float:
         """Returns for how many seconds a content stays blocked; 0 if it is not.
 
         Args:
@@ -110,7 +110,7 @@
         """Returns how many contents are blocked."""
         return sum(not block.is_over(now) for block in self._blocks.values())
 
-    def is_known(self, content: str) -> bool:
+    def was_blocked(self, content: str) -> bool:
         """Returns whether a content is blocked, or was and is not lifted."""
         found = self._blocks.get(content)
         return found is not None and not found.lifted
@@ -132,7 +132,7 @@
         self._decide(msgspec.structs.replace(found, lifted=True), now)
         return True
 
-    def take(self, told: Iterable[BlockNews], now: float) -> list[Block]:
+    def merge(self, told: Iterable[BlockUpdate], now: float) -> list[Block]:
         """Takes what another VM tells; returns what was new."""
         blocks = [
             Block(n.content, n.level, now + n.left_s, n.crashes, n.lifted)
@@ -142,12 +142,12 @@
             block
             for block in blocks
             if block.content not in self._blocks
-            or block.overrules(self._blocks[block.content])
+            or block.supersedes(self._blocks[block.content])
         ]
         self._keep(new, now)
         return new
 
-    def list_news(self, now: float) -> list[BlockNews]:
+    def list_updates(self, now: float) -> list[BlockUpdate]:
         """Returns all that another VM needs to know."""
         return [_make_news(block, now) for block in self._blocks.values()]
 
@@ -172,8 +172,8 @@
             listener(news)
 
 
-def _make_news(block: Block, now: float) -> BlockNews:
-    return BlockNews(
+def _make_news(block: Block, now: float) -> BlockUpdate:
+    return BlockUpdate(
         block.content,
         block.level,
         max(0.0, block.until - now),
--- a/ramptray/core/claim.py
+++ b/ramptray/core/claim.py
@@ -21,7 +21,7 @@
 """Name under which a zone's schedulers share out the partitions."""
 
 
-class Verdict(enum.Enum):
+class ClaimStatus(enum.Enum):
     """What the log says of an attempt."""
 
     HELD = "held"
@@ -75,7 +75,7 @@
     def __len__(self) -> int:
         return len(self._keys)
 
-    def read(self, record: ClaimRecord) -> None:
+    def apply(self, record: ClaimRecord) -> None:
         """Takes the next record of the stream."""
         state = self._keys.setdefault(record.key, _KeyState())
         match record.kind:
@@ -93,7 +93,9 @@
                     state.done = True
                     state.status = record.status
 
-    def judge(self, key: str, attempt: str, digest: str) -> Verdict | None:
+    def get_claim_status(
+        self, key: str, attempt: str, digest: str
+    ) -> ClaimStatus | None:
         """Returns what the records read so far say of an attempt.
 
         Returns:
@@ -103,16 +105,16 @@
         if state is None:
             return None
         if attempt in state.released:
-            return Verdict.VOID
+            return ClaimStatus.VOID
         if state.holder is None:
             return None
         if state.holder == attempt:
-            return Verdict.HELD
+            return ClaimStatus.HELD
         if state.digest != digest:
-            return Verdict.REUSED
-        return Verdict.DONE if state.done else Verdict.IN_PROGRESS
+            return ClaimStatus.REUSED
+        return ClaimStatus.DONE if state.done else ClaimStatus.IN_PROGRESS
 
-    def get_status(self, key: str) -> int:
+    def get_response_status(self, key: str) -> int:
         """Returns the status of the answer that a key's holder got."""
         state = self._keys.get(key)
         return state.status if state else 0
@@ -128,24 +130,27 @@
     return message.ShardKey(zone, SERVICE, get_partition(key))
 
 
-def make_finish(verdict: Verdict) -> request.Finish:
+def make_finish(verdict: ClaimStatus) -> request.Finish:
     """Returns what a caller is told whose attempt may not run.
 
     ``not_run`` is said only where neither this attempt nor another one with
     the key can have run.
     """
     outcomes = {
-        Verdict.IN_PROGRESS: (
+        ClaimStatus.IN_PROGRESS: (
             message.Outcome.UNKNOWN,
             message.Reason.KEY_IN_PROGRESS,
         ),
-        Verdict.DONE: (message.Outcome.UNKNOWN, message.Reason.KEY_DONE),
-        Verdict.REUSED: (message.Outcome.NOT_RUN, message.Reason.KEY_REUSED),
-        Verdict.VOID: (
+        ClaimStatus.DONE: (message.Outcome.UNKNOWN, message.Reason.KEY_DONE),
+        ClaimStatus.REUSED: (
+            message.Outcome.NOT_RUN,
+            message.Reason.KEY_REUSED,
+        ),
+        ClaimStatus.VOID: (
             message.Outcome.NOT_RUN,
             message.Reason.LOG_UNAVAILABLE,
         ),
-        Verdict.UNAVAILABLE: (
+        ClaimStatus.UNAVAILABLE: (
             message.Outcome.NOT_RUN,
             message.Reason.LOG_UNAVAILABLE,
         ),
--- a/ramptray/core/tree.py
+++ b/ramptray/core/distribution.py
@@ -21,7 +21,7 @@
 """VMs that read the log for all: one of them may be frozen or cut off from it,
 and each costs the log a call a second a stream."""
 
-HEADS = 2
+RELAYS_PER_ZONE = 2
 """VMs of each zone that follow VMs of other zones: one may be lost."""
 
 FANOUT = 6
@@ -29,7 +29,7 @@
 five zones: 78, 195 and 414 VMs are told in three steps, and none has more than
 14 followers, the heads of other zones included."""
 
-SOURCES = 2
+MAX_SOURCES = 2
 """VMs that each VM may follow: while the first is frozen or cut off, the other
 is asked."""
 
@@ -37,7 +37,7 @@
 """Key by which VMs that are alike are put in an order."""
 
 
-class Place(msgspec.Struct, frozen=True):
+class Position(msgspec.Struct, frozen=True):
     """A VM's place among those that follow the log.
 
     Attributes:
@@ -52,9 +52,9 @@
     turn: int
 
 
-def find_place(
+def find_position(
     me: membership.Member, members: Iterable[membership.Member]
-) -> Place:
+) -> Position:
     """Returns a VM's place.
 
     Args:
@@ -68,13 +68,13 @@
     near = [m for m in ordered if m.availability_zone == zone]
     turn = near.index(me)
     if me in readers:
-        return Place(True, (), turn)
+        return Position(True, (), turn)
     nearest: list[membership.Member] = []
-    if turn >= HEADS:
-        parent = (turn - HEADS) // FANOUT
+    if turn >= RELAYS_PER_ZONE:
+        parent = (turn - RELAYS_PER_ZONE) // FANOUT
         nearest = near[parent : parent + 2]
     sources = dict.fromkeys(m.address for m in [*nearest, *readers])
-    return Place(False, tuple(sources)[:SOURCES], turn)
+    return Position(False, tuple(sources)[:MAX_SOURCES], turn)
 
 
 def _order(
--- a/ramptray/core/lease.py
+++ b/ramptray/core/lease.py
@@ -67,7 +67,7 @@
     """
 
     def __init__(self, me: str, times: LeaseTimes, now: float) -> None:
-        self.fencing = -1
+        self.fencing_token = -1
         self._me = me
         self._times = times
         self._read_through = -1
@@ -90,7 +90,9 @@
             self._read_through = offset - 1
             self._heard_at = now
 
-    def read(self, offset: int, record: LeaseRecord, now: float) -> None:
+    def apply_record(
+        self, offset: int, record: LeaseRecord, now: float
+    ) -> None:
         """Takes the next record of the stream."""
         if offset <= self._read_through:
             return
@@ -108,14 +110,14 @@
             return
         self._holder = record.holder
         if record.holder == self._me and sent_at is not None:
-            self.fencing = offset
+            self.fencing_token = offset
             self._expires_at = sent_at + self._times.term_s
 
     def holds(self, now: float) -> bool:
         """Returns whether this controller holds the lease now."""
         return self._holder == self._me and now < self._expires_at
 
-    def may_order(self, now: float) -> bool:
+    def may_send_order(self, now: float) -> bool:
         """Returns whether an order sent now arrives within the lease.
 
         It is asked just before each order.
--- a/ramptray/core/membership.py
+++ b/ramptray/core/membership.py
@@ -17,7 +17,7 @@
 import msgspec
 import xxhash
 
-PERIOD_S = 0.5
+PROBE_INTERVAL_S = 0.5
 """Time between two probes of a node, in seconds."""
 
 PROBE_TIMEOUT_S = 0.5
@@ -26,7 +26,7 @@
 SUSPECT_S = 0.75
 """How long a suspected member may still speak up, in seconds."""
 
-FORGET_S = 60.0
+DEAD_RETENTION_S = 60.0
 """How long a dead member's record is kept, in seconds."""
 
 UPDATES_PER_MESSAGE = 12
@@ -179,19 +179,19 @@
         """Marks this member as leaving by its own will."""
         self._set_me(state=MemberState.LEFT, now=now)
 
-    def pick_target(self) -> Member | None:
+    def pick_probe_target(self) -> Member | None:
         """Returns the next neighbour: each once in a random round."""
         while self._round:
             known = self._known.get(self._round.pop())
             if known and self._may_probe(known.member):
                 return known.member
-        self._round = [member.vm for member in self.list_neighbours()]
+        self._round = [member.vm for member in self.list_probe_targets()]
         self._rng.shuffle(self._round)
         if not self._round:
             return None
         return self._known[self._round.pop()].member
 
-    def list_neighbours(self) -> list[Member]:
+    def list_probe_targets(self) -> list[Member]:
         """Returns the members that this one probes.
 
         Load pattern: hundreds of VMs.  If each probed all in turn, each would
@@ -221,13 +221,13 @@
         later = [member for member in self.list_alive() if member.vm > after]
         return heapq.nsmallest(PAGE_MEMBERS, later, key=lambda m: m.vm)
 
-    def take_page(self, page: list[Member], now: float) -> None:
+    def apply_page(self, page: list[Member], now: float) -> None:
         """Takes the members that were listed when that was asked for."""
         self.merge(page, now)
         whole = len(page) < PAGE_MEMBERS
         self.wanted_after = None if whole else page[-1].vm
 
-    def compare(self, digest: int) -> None:
+    def compare_digest(self, digest: int) -> None:
         """Has all members listed anew if others go on to know other ones.
 
         Changes are told some times only, so a member may miss one for good.
@@ -284,7 +284,11 @@
                     now,
                 )
             gone = state in (MemberState.DEAD, MemberState.LEFT)
-            if gone and vm != self._me.vm and now - known.since > FORGET_S:
+            if (
+                gone
+                and vm != self._me.vm
+                and now - known.since > DEAD_RETENTION_S
+            ):
                 # Its digest went when it did.
                 del self._known[vm]
 
--- a/ramptray/core/suspicion.py
+++ b/ramptray/core/poison.py
@@ -67,7 +67,7 @@
 server each time."""
 
 
-class Runner(msgspec.Struct, frozen=True):
+class RunningRequest(msgspec.Struct, frozen=True):
     """A request that was at a backend server as it ended.
 
     Attributes:
@@ -89,7 +89,7 @@
     backend: str
     run: int
     at: float
-    runners: dict[str, Runner]
+    runners: dict[str, RunningRequest]
 
     def list_suspects(self) -> set[str]:
         """Returns the contents of which one may have ended it."""
@@ -106,7 +106,7 @@
         }
 
 
-class Moment:
+class CrashGroup:
     """Crashes that happened together."""
 
     def __init__(self, first: Crash) -> None:
@@ -134,7 +134,7 @@
         return set.intersection(*of_each) - self._cleared
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class Detection(msgspec.Struct, frozen=True):
     """A content that is blocked from now on, and why.
 
     Attributes:
@@ -152,7 +152,7 @@
     tied: bool
 
 
-class Evidence:
+class PoisonDetector:
     """What speaks for and against contents, as an owner has seen it.
 
     Args:
@@ -161,7 +161,7 @@
 
     def __init__(self, blocks: blocklist.Blocklist) -> None:
         self.blocks = blocks
-        self._moments: collections.deque[Moment] = collections.deque(
+        self._moments: collections.deque[CrashGroup] = collections.deque(
             maxlen=MAX_MOMENTS
         )
         self._sound: collections.OrderedDict[str, None] = (
@@ -174,13 +174,13 @@
 
     def is_suspect(self, content: str) -> bool:
         """Returns whether anything speaks against a content."""
-        return content in self._counts or self.blocks.is_known(content)
+        return content in self._counts or self.blocks.was_blocked(content)
 
-    def get_count(self, content: str) -> int:
+    def get_crash_count(self, content: str) -> int:
         """Returns how many moments speak against a content."""
         return self._counts.get(content, 0)
 
-    def note_crash(self, crash: Crash) -> list[Verdict]:
+    def record_crash(self, crash: Crash) -> list[Detection]:
         """Takes a backend server that ended; returns who is found out.
 
         Each request that was there tells of it; the first one counts.
@@ -196,10 +196,10 @@
         if self._moments and self._moments[-1].takes(crash):
             self._moments[-1].crashes.append(crash)
         else:
-            self._moments.append(Moment(crash))
+            self._moments.append(CrashGroup(crash))
         return self._judge(crash.at)
 
-    def note_absence(self, request_id: str) -> None:
+    def exclude_request(self, request_id: str) -> None:
         """Notes that a request had not reached a backend server that ended."""
         for moment in self._moments:
             for crash in moment.crashes:
@@ -207,7 +207,7 @@
                     self._count()
                     return
 
-    def note_whole(self, content: str, now: float) -> list[Verdict]:
+    def record_success(self, content: str, now: float) -> list[Detection]:
         """Notes that a request has ended well; returns who is found out."""
         if not content:
             return []
@@ -248,7 +248,7 @@
     def _is_explained(self, crash: Crash) -> bool:
         """Returns whether a blocked content was there, sent before it was."""
         return any(
-            self.blocks.get_left(content, crash.at) > 0
+            self.blocks.get_remaining_s(content, crash.at) > 0
             for content in crash.list_suspects()
         )
 
@@ -264,12 +264,14 @@
             for content in moment.list_suspects()
         )
 
-    def _judge(self, now: float) -> list[Verdict]:
+    def _judge(self, now: float) -> list[Detection]:
         """Blocks whoever explains most, while that is enough."""
-        verdicts: list[Verdict] = []
+        verdicts: list[Detection] = []
         self._count()
         # Those that another VM has found out explain what was seen here.
-        self._settle(c for c in self._counts if self.blocks.get_left(c, now))
+        self._settle(
+            c for c in self._counts if self.blocks.get_remaining_s(c, now)
+        )
         self._count()
         while found := self._find_culprits():
             for content in found:
@@ -280,7 +282,7 @@
 
     def _find_culprits(self) -> list[str]:
         """Returns the contents to block: several that cannot be told apart."""
-        if again := [c for c in self._counts if self.blocks.is_known(c)]:
+        if again := [c for c in self._counts if self.blocks.was_blocked(c)]:
             # It was blocked before, and has done it again.
             return again
         if not self._counts:
@@ -294,7 +296,7 @@
     def _get_needed(self, content: str) -> int:
         return NEEDED_OF_SOUND if content in self._sound else NEEDED
 
-    def _block(self, content: str, now: float, tied: bool) -> Verdict:
+    def _block(self, content: str, now: float, tied: bool) -> Detection:
         crashes = [
             crash
             for moment in self._moments
@@ -307,10 +309,10 @@
             for runner in crash.runners.values()
             if runner.content == content
         ]
-        count = self.get_count(content)
+        count = self.get_crash_count(content)
         made = self.blocks.block(content, len(crashes), now)
         backends = tuple(crash.backend for crash in crashes)
-        return Verdict(made, count, backends, tuple(ids), tied)
+        return Detection(made, count, backends, tuple(ids), tied)
 
     def _settle(self, culprits: Iterable[str]) -> None:
         """Drops the moments that are explained."""
--- a/ramptray/core/release.py
+++ b/ramptray/core/release.py
@@ -39,7 +39,7 @@
         if self.rollout is None or not order.is_same(self.rollout.order):
             self.rollout = rollout.Rollout(order)
         if verdict is not None:
-            self.rollout.learn(verdict)
+            self.rollout.apply_verdict(verdict)
 
     def decide(self, now: float) -> None:
         """Goes on with the rollout as far as time and evidence allow."""
@@ -49,12 +49,12 @@
         old: list[backends.Backend] = []
         for known in self._fleet.list_all():
             (new if self._is_new(known) else old).append(known)
-        places = rollout.Places(
+        places = rollout.Capacity(
             _count_places(new),
             _count_places(old),
             sum(len(known.placed) for known in old),
         )
-        self.rollout.decide(places, now)
+        self.rollout.advance(places, now)
 
     def list_open(
         self, candidates: list[backends.Backend]
@@ -66,7 +66,7 @@
         return [
             candidate
             for candidate in candidates
-            if self.rollout.may_send(candidate.info.release, part)
+            if self.rollout.may_receive(candidate.info.release, part)
         ]
 
     def choose(
@@ -86,7 +86,7 @@
     def note_sent(self, chosen: backends.Backend) -> None:
         """Counts a request that was granted."""
         if self.rollout is not None:
-            self.rollout.note_sent(self._is_new(chosen))
+            self.rollout.count_request(self._is_new(chosen))
 
     def judge(self, ended: message.Ended) -> None:
         """Tells the rollout how an answer went, if that says anything."""
@@ -98,8 +98,8 @@
         if not failed and not ended.whole:
             return
         later = ended.output_tokens - ended.first_tokens
-        self.rollout.take(
-            rollout.Answer(
+        self.rollout.record_response(
+            rollout.Response(
                 self._is_new(backend),
                 placed.request.route,
                 failed,
--- a/ramptray/core/rollout.py
+++ b/ramptray/core/rollout.py
@@ -149,7 +149,7 @@
     reason: str = ""
     is_kept: bool = False
 
-    def goes_before(self, other: Verdict | None) -> bool:
+    def replaces(self, other: Verdict | None) -> bool:
         """Returns whether this one replaces another on the same service."""
         if other is None or other.release != self.release:
             return True
@@ -159,7 +159,7 @@
         return mine > (other.state.is_final, other.is_kept)
 
 
-class Answer(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """How one answer went.
 
     Attributes:
@@ -186,7 +186,7 @@
         self.evidence = 0.0
         self.sound = 0.0
 
-    def take(self, answer: Answer) -> None:
+    def take(self, answer: Response) -> None:
         if not answer.is_new:
             self._usual += LEARNING_RATE * (answer.failed - self._usual)
             return
@@ -235,7 +235,7 @@
         self._first = _Slowness()
         self._pace = _Slowness()
 
-    def take(self, answer: Answer) -> None:
+    def take(self, answer: Response) -> None:
         self._failures.take(answer)
         if answer.first is not None and not answer.failed:
             self._first.take(answer.is_new, answer.first)
@@ -258,7 +258,7 @@
         return ""
 
 
-class Places(msgspec.Struct, frozen=True):
+class Capacity(msgspec.Struct, frozen=True):
     """What a service has of both releases.
 
     Attributes:
@@ -309,7 +309,7 @@
         # The releases that it is to replace.
         self._old: set[str] = set()
 
-    def may_send(self, release: str, part: float) -> bool:
+    def may_receive(self, release: str, part: float) -> bool:
         """Returns whether a request may be granted to a release.
 
         Args:
@@ -331,12 +331,12 @@
         sent_new = self.sent_new - self._new_before
         return sent_new + 1 <= self._share * (sent + 1) + self._slack * part
 
-    def note_sent(self, is_new: bool) -> None:
+    def count_request(self, is_new: bool) -> None:
         """Counts a request that was granted."""
         self.sent += 1
         self.sent_new += is_new
 
-    def take(self, answer: Answer) -> None:
+    def record_response(self, answer: Response) -> None:
         """Takes how an answer went; a bad release is given up at once."""
         self.answers_new += answer.is_new
         self.failures_new += answer.is_new and answer.failed
@@ -350,20 +350,20 @@
                 where = name or "all routes"
                 self._end(State.ROLLED_BACK, f"{fault} on {where}")
 
-    def learn(self, verdict: Verdict) -> None:
+    def apply_verdict(self, verdict: Verdict) -> None:
         """Takes what another owner has decided, or what the log keeps."""
         if verdict.release != self.order.release or not verdict.state.is_final:
             return
         if verdict.is_kept or not self.state.is_final:
             self._end(verdict.state, verdict.reason)
 
-    def tell(self) -> Verdict:
+    def make_verdict(self) -> Verdict:
         """Returns what is decided here."""
         return Verdict(
             self.order.service, self.order.release, self.state, self.reason
         )
 
-    def decide(self, places: Places, now: float) -> State:
+    def advance(self, places: Capacity, now: float) -> State:
         """Goes on as far as time and evidence allow; returns the state.
 
         Args:
@@ -387,7 +387,7 @@
             self._promote(age, places)
         return self.state
 
-    def _promote(self, age: float, places: Places) -> None:
+    def _promote(self, age: float, places: Capacity) -> None:
         """Gives a sound release more, then all, then ends the old one."""
         if self._ramp_answers is None:
             if age >= RAMP_AT:
--- a/ramptray/entry/blocked.py
+++ b/ramptray/entry/blocked.py
@@ -39,21 +39,21 @@
 
     def get_left(self, content: str, now: float) -> float:
         """Returns for how many seconds a content stays blocked; 0 if not."""
-        return self._blocks.get_left(content, now)
+        return self._blocks.get_remaining_s(content, now)
 
     def tell_all(self, address: str, now: float) -> None:
         """Tells a scheduler all that is known here."""
         if len(self._blocks):
-            told = peer_message.BlockedContents(self._blocks.list_news(now))
+            told = peer_message.BlockedContents(self._blocks.list_updates(now))
             self._tell(address, told)
 
     def take(self, address: str, told: peer_message.BlockedContents) -> bool:
         """Takes what a scheduler tells; tells whether any of it is new."""
-        new = self._blocks.take(told.blocks, steadyclock.read())
+        new = self._blocks.merge(told.blocks, steadyclock.read())
         log_taken(new, address)
         return bool(new)
 
-    def _spread(self, news: list[blocklist.BlockNews]) -> None:
+    def _spread(self, news: list[blocklist.BlockUpdate]) -> None:
         for address in self._list_links():
             self._tell(address, peer_message.BlockedContents(news))
 
--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -380,8 +380,8 @@
         ticket = self._tickets.get(decision.attempt)
         if ticket is None:
             return
-        verdict = claim.Verdict(decision.verdict)
-        held = verdict is claim.Verdict.HELD
+        verdict = claim.ClaimStatus(decision.verdict)
+        held = verdict is claim.ClaimStatus.HELD
         finish = None if held else claim.make_finish(verdict)
         effects = ticket.machine.decide_claim(held, finish)
         self._perform(ticket, effects, now)
--- a/ramptray/peer/message.py
+++ b/ramptray/peer/message.py
@@ -257,7 +257,7 @@
     Also the answer to ``ListBlocks`` and ``LiftBlock``.
     """
 
-    blocks: list[blocklist.BlockNews]
+    blocks: list[blocklist.BlockUpdate]
 
 
 class ListBlocks(msgspec.Struct, frozen=True):
--- a/ramptray/scheduler/claims.py
+++ b/ramptray/scheduler/claims.py
@@ -218,21 +218,26 @@
             LOG.warning("record is not a group of claims: %s", error)
             return
         for record in records:
-            partition.ledger.read(record)
+            partition.ledger.apply(record)
 
     def _decide(self, partition: Partition) -> None:
         for attempt, pending in list(partition.pending.items()):
             wish = pending.wish
-            verdict = partition.ledger.judge(wish.key, attempt, wish.digest)
+            verdict = partition.ledger.get_claim_status(
+                wish.key, attempt, wish.digest
+            )
             if verdict is not None:
                 self._answer(partition, pending, verdict)
 
     def _answer(
-        self, partition: Partition, pending: _Pending, verdict: claim.Verdict
+        self,
+        partition: Partition,
+        pending: _Pending,
+        verdict: claim.ClaimStatus,
     ) -> None:
         wish = pending.wish
         del partition.pending[wish.attempt]
-        status = partition.ledger.get_status(wish.key)
+        status = partition.ledger.get_response_status(wish.key)
         self._on_decision(
             pending.session,
             peer_message.ClaimDecision(wish.attempt, verdict.value, status),
@@ -254,7 +259,7 @@
         Only the entry may release the attempt: it may have been told by
         another scheduler that the attempt holds the key, and have dispatched.
         """
-        self._answer(partition, pending, claim.Verdict.UNAVAILABLE)
+        self._answer(partition, pending, claim.ClaimStatus.UNAVAILABLE)
 
 
 def _make_claim(wish: peer_message.ClaimKey) -> claim.ClaimRecord:
--- a/ramptray/scheduler/feed.py
+++ b/ramptray/scheduler/feed.py
@@ -2,9 +2,9 @@
 
 Load pattern: hundreds of VMs want each change within a second or two, and each
 reading the log costs a call a VM a change, and the whole of a large value over
-the slowest link.  Here a few read (``core.tree``), and a change travels as its
-difference.  A VM that is not told anything for a while reads the log itself,
-one of a zone after the other.
+the slowest link.  Here a few read (``core.distribution``), and a change travels
+as its difference.  A VM that is not told anything for a while reads the log
+itself, one of a zone after the other.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import msgspec
 
 from ramptray import steadyclock
-from ramptray.core import membership, tree
+from ramptray.core import distribution, membership
 from ramptray.log import keyedstream
 from ramptray.log import mirror as mirrors
 from ramptray.log import reader as log_reader
@@ -138,7 +138,7 @@
         self._me = me
         self._client = client
         self._streams = {each.reader.stream: each for each in streams}
-        self._place: tree.Place | None = None
+        self._place: distribution.Position | None = None
         named = list(seeds)
         self._seeds = tuple(s for s in named if s != me.address)
         waits = first_start and me.address not in named and self._seeds
@@ -184,7 +184,7 @@
         """Takes the VMs that are alive."""
         others = [m for m in members if m.vm != self._me.vm]
         # Alone, it may just not have met the others yet.
-        place = tree.find_place(self._me, others) if others else None
+        place = distribution.find_position(self._me, others) if others else None
         if place == self._place:
             return
         self._place = place
@@ -249,7 +249,7 @@
 
     def _follow_sources(self, tasks: anyio.abc.TaskGroup) -> None:
         """Begins and ends following, by this VM's place."""
-        wanted = self._seeds[: tree.SOURCES]
+        wanted = self._seeds[: distribution.MAX_SOURCES]
         if self._place is not None:
             wanted = self._place.sources
         self._wanted = frozenset(wanted)
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -126,7 +126,7 @@
         self._rounds = itertools.count(1)
         self._young_until = now + YOUNG_S
         self._settled = 0
-        self._count_seeds_until = now + membership.FORGET_S
+        self._count_seeds_until = now + membership.DEAD_RETENTION_S
         self._alarmed = False
         self.verdicts = rollouts.VerdictBook()
         self._rtt = rtt.RttEstimator(ALARM_TIMEOUT_S, MAX_ANSWER_S)
@@ -149,12 +149,12 @@
                     tasks.start_soon(self._probe, address)
 
     def _pick_neighbours(self, count: int) -> list[str]:
-        others = [m.address for m in self.membership.list_neighbours()]
+        others = [m.address for m in self.membership.list_probe_targets()]
         return self._rng.sample(others, min(count, len(others)))
 
     async def _run_periods(self) -> None:
         while True:
-            period_s = membership.PERIOD_S
+            period_s = membership.PROBE_INTERVAL_S
             if self._is_young():
                 period_s = YOUNG_PERIOD_S
             await anyio.sleep(period_s * self._rng.uniform(0.8, 1.2))
@@ -291,7 +291,7 @@
 
     async def _run_period(self) -> None:
         self.membership.tick(steadyclock.read())
-        target = self.membership.pick_target()
+        target = self.membership.pick_probe_target()
         addresses = [target.address] if target else []
         if not target and self._seeds:
             addresses.append(self._rng.choice(self._seeds))
@@ -356,9 +356,9 @@
         now = steadyclock.read()
         self._merge(answer, now)
         if answer.page is not None:
-            self.membership.take_page(answer.page, now)
+            self.membership.apply_page(answer.page, now)
         elif answer.digest:
-            self.membership.compare(answer.digest)
+            self.membership.compare_digest(answer.digest)
         is_same = self.membership.version == known
         self._settled = self._settled + 1 if is_same else 0
 
--- a/ramptray/scheduler/guard.py
+++ b/ramptray/scheduler/guard.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ramptray import timeline
-from ramptray.core import backend, blocklist, message, shard, suspicion
+from ramptray.core import backend, blocklist, message, poison, shard
 
 LOG = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
         self, blocks: blocklist.Blocklist, events: timeline.Timeline
     ) -> None:
         self.blocks = blocks
-        self.evidence = suspicion.Evidence(blocks)
+        self.evidence = poison.PoisonDetector(blocks)
         self.on_crash: Callable[[], None] = _do_nothing
         self._timeline = events
 
@@ -42,7 +42,7 @@
         self, request: message.RequestInfo, now: float
     ) -> message.Reject | None:
         """Returns the refusal of a request whose content is blocked."""
-        left_s = self.blocks.get_left(request.content, now)
+        left_s = self.blocks.get_remaining_s(request.content, now)
         if left_s <= 0:
             return None
         return message.Reject(
@@ -56,7 +56,7 @@
         match told:
             case message.Decline(request_id, _, True):
                 # It had not reached the backend server.
-                self.evidence.note_absence(request_id)
+                self.evidence.exclude_request(request_id)
             case message.Ended():
                 self._note_ended(owner, told, now)
 
@@ -69,12 +69,12 @@
             return
         if ended.whole:
             content = placed.request.content
-            if self.blocks.get_left(content, now):
+            if self.blocks.get_remaining_s(content, now):
                 LOG.warning(
                     "block lifted",
                     extra={"content": content, "origin": "it ended well"},
                 )
-            self._tell(self.evidence.note_whole(content, now), now)
+            self._tell(self.evidence.record_success(content, now), now)
             return
         if not ended.gone or known.state is backend.BackendState.LEAVING:
             # Whoever leaves ends as planned, with whatever is left there.
@@ -83,7 +83,7 @@
 
     def _note_crash(self, known: backend.Backend, now: float) -> None:
         runners = {
-            request_id: suspicion.Runner(
+            request_id: poison.RunningRequest(
                 request_id,
                 placed.request.content,
                 placed.started,
@@ -93,10 +93,10 @@
             )
             for request_id, placed in known.placed.items()
         }
-        crash = suspicion.Crash(known.info.name, known.info.run, now, runners)
+        crash = poison.Crash(known.info.name, known.info.run, now, runners)
         if self.evidence.has_ended(crash):
             return
-        verdicts = self.evidence.note_crash(crash)
+        verdicts = self.evidence.record_crash(crash)
         self.on_crash()
         self._timeline.note(
             "crash",
@@ -107,14 +107,14 @@
                     "request": runner.request_id,
                     "content": runner.content,
                     "answered_s": runner.answered_s,
-                    "count": self.evidence.get_count(runner.content),
+                    "count": self.evidence.get_crash_count(runner.content),
                 }
                 for runner in runners.values()
             ],
         )
         self._tell(verdicts, now)
 
-    def _tell(self, verdicts: list[suspicion.Verdict], now: float) -> None:
+    def _tell(self, verdicts: list[poison.Detection], now: float) -> None:
         for verdict in verdicts:
             block = verdict.block
             LOG.warning(
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -240,7 +240,7 @@
             case peer_message.TimelineEvents():
                 self._queries.hand_on(session, body)
             case peer_message.BlockedContents(blocks):
-                new = self.blocks.take(blocks, now)
+                new = self.blocks.merge(blocks, now)
                 blocked.log_taken(new, attached.hello.name)
             case peer_message.InForceReport(generation):
                 attached.generation = generation
@@ -279,7 +279,7 @@
             session.send(peer_message.LowestGeneration(self._lowest))
             return
         if len(self.blocks):
-            news = self.blocks.list_news(steadyclock.read())
+            news = self.blocks.list_updates(steadyclock.read())
             session.send(peer_message.BlockedContents(news))
         self._attached.add_entry(session, hello.name)
         for owner in self.shards.values():
@@ -360,7 +360,7 @@
                 self._send_out(out)
                 return
 
-    def _spread_blocks(self, news: list[blocklist.BlockNews]) -> None:
+    def _spread_blocks(self, news: list[blocklist.BlockUpdate]) -> None:
         """Tells the entries, and refuses what waits here."""
         spread = peer_message.BlockedContents(news)
         for session, attached in self._attached:
--- a/ramptray/scheduler/keeper.py
+++ b/ramptray/scheduler/keeper.py
@@ -55,10 +55,10 @@
         self._blocks = blocks
         self._loads = loads
         self._read_clock = read_clock
-        send, receive = anyio.create_memory_object_stream[blocklist.BlockNews](
-            PENDING
-        )
-        self._send: memory.MemoryObjectSendStream[blocklist.BlockNews] = send
+        send, receive = anyio.create_memory_object_stream[
+            blocklist.BlockUpdate
+        ](PENDING)
+        self._send: memory.MemoryObjectSendStream[blocklist.BlockUpdate] = send
         self._receive = receive
         self._wanted = anyio.Event()
         blocks.on_decision(self._note)
@@ -88,9 +88,9 @@
 
     def save_again(self) -> None:
         """Saves all blocks, as the log may have lost some."""
-        self._note(self._blocks.list_news(steadyclock.read()))
+        self._note(self._blocks.list_updates(steadyclock.read()))
 
-    def _note(self, news: list[blocklist.BlockNews]) -> None:
+    def _note(self, news: list[blocklist.BlockUpdate]) -> None:
         for each in news:
             try:
                 self._send.send_nowait(each)
@@ -113,7 +113,7 @@
     def _take(self, found: list[blocklog.StoredBlock]) -> None:
         now = self._read_clock()
         news = [
-            blocklist.BlockNews(
+            blocklist.BlockUpdate(
                 stored.content,
                 stored.level,
                 min(stored.until_unix_s - now, blocklist.MAX_BLOCK_S),
@@ -122,10 +122,10 @@
             )
             for stored in found
         ]
-        new = self._blocks.take(news, steadyclock.read())
+        new = self._blocks.merge(news, steadyclock.read())
         LOG.info("blocks read", extra={"found": len(news), "new": len(new)})
 
-    async def _save(self, news: blocklist.BlockNews) -> None:
+    async def _save(self, news: blocklist.BlockUpdate) -> None:
         stored = blocklog.StoredBlock(
             news.content,
             news.level,
--- a/ramptray/scheduler/rollouts.py
+++ b/ramptray/scheduler/rollouts.py
@@ -44,7 +44,7 @@
     def take(self, found: Iterable[rollout.Verdict]) -> None:
         """Takes verdicts of this VM, of others, or of the log."""
         for verdict in found:
-            if not verdict.goes_before(self._verdicts.get(verdict.service)):
+            if not verdict.replaces(self._verdicts.get(verdict.service)):
                 continue
             self._verdicts[verdict.service] = verdict
             LOG.info("rollout", extra=msgspec.to_builtins(verdict))
@@ -105,8 +105,8 @@
     def _tell(self, owner: shard.ShardOwner) -> None:
         if owner.releases.rollout is None:
             return
-        verdict = owner.releases.rollout.tell()
-        if verdict.goes_before(self.verdicts.get(verdict.service)):
+        verdict = owner.releases.rollout.make_verdict()
+        if verdict.replaces(self.verdicts.get(verdict.service)):
             self.verdicts.take([verdict])
             self.on_verdict(verdict)
 
@@ -114,7 +114,7 @@
         for owner in self._list_owners():
             found = owner.releases.rollout
             if found and owner.shard.service == verdict.service:
-                found.learn(verdict)
+                found.apply_verdict(verdict)
 
 
 class VerdictKeeper:
--- a/ramptray/scheduler/servant.py
+++ b/ramptray/scheduler/servant.py
@@ -77,7 +77,7 @@
         raise ValueError(f"no question: {type(question).__name__}")
 
     def _list_blocks(self) -> peer_message.BlockedContents:
-        news = self._hub.blocks.list_news(steadyclock.read())
+        news = self._hub.blocks.list_updates(steadyclock.read())
         return peer_message.BlockedContents(news)
 
     async def _collect_events(
--- a/test/crashes.py
+++ b/test/crash_simulation.py
@@ -5,7 +5,7 @@
 import dataclasses
 import random
 
-from ramptray.core import blocklist, suspicion
+from ramptray.core import blocklist, poison
 
 SERVERS = 5
 PLACES = 6
@@ -61,7 +61,7 @@
     def __init__(self, load: Load, seed: int) -> None:
         self.blocks = blocklist.Blocklist()
         self.crashes_of_culprit = 0
-        self._evidence = suspicion.Evidence(self.blocks)
+        self._evidence = poison.PoisonDetector(self.blocks)
         self._load = load
         self._rng = random.Random(seed)
         self._servers: dict[int, list[Run]] = {n: [] for n in range(SERVERS)}
@@ -101,7 +101,7 @@
             for number, runs in self._servers.items()
             if len(runs) < PLACES and now >= self._back_at[number]
         ]
-        if not room or self.blocks.get_left(content, now):
+        if not room or self.blocks.get_remaining_s(content, now):
             return
         self._count += 1
         took_s = self._rng.uniform(0.1, self._load.longest_s)
@@ -137,7 +137,7 @@
                     self._end_server(number, now)
                     continue
                 runs.remove(run)
-                self._evidence.note_whole(run.content, now)
+                self._evidence.record_success(run.content, now)
 
     def _crash_from_outside(self, now: float) -> None:
         if now < self._wave_at:
@@ -153,7 +153,7 @@
         if now < self._back_at[number]:
             return
         runners = {
-            run.name: suspicion.Runner(
+            run.name: poison.RunningRequest(
                 run.name,
                 run.content,
                 run.began,
@@ -161,11 +161,11 @@
             )
             for run in runs
         }
-        crash = suspicion.Crash(f"s{number}", self._lives[number], now, runners)
+        crash = poison.Crash(f"s{number}", self._lives[number], now, runners)
         self._servers[number].clear()
         self._lives[number] += 1
         self._back_at[number] = now + BACK_S
-        self._evidence.note_crash(crash)
+        self._evidence.record_crash(crash)
         for run in runs:
             if run.tries < TRIES:
                 self._send(run.content, run.tries + 1, now)
--- a/test/soak.py
+++ b/test/soak.py
@@ -24,7 +24,7 @@
 import click
 
 from bench import promise, proxy
-from test import crashing, harm, hinting, limiting, node, verdict
+from test import harm, hinting, limiting, node, poison_load, verdict
 
 CHANGE_EVERY_S = 1.3
 KEPT_VERSIONS = 20
@@ -75,7 +75,7 @@
         self._crashes = crashes
         self._limits = limits
         self._hints = hints
-        self._supervisor = crashing.Supervisor(started)
+        self._supervisor = poison_load.Supervisor(started)
         self._platform = started
         self._seconds = seconds
         self._names = [f"vm-{number}" for number in range(vms)]
@@ -84,7 +84,7 @@
         self.record = verdict.Record()
         self._stores: dict[str, proxy.Proxy] = {}
         self._proxies: dict[str, proxy.Proxy] = {}
-        self._tries = crashing.Tries(started, self._names)
+        self._tries = poison_load.Tries(started, self._names)
         self._start()
         self._harm = harm.Harm(
             started,
@@ -120,7 +120,7 @@
         for number in range(3):
             name = f"i-{number}"
             if self._crashes:
-                started.start_replica(name, crash_on=crashing.MARK)
+                started.start_replica(name, crash_on=poison_load.MARK)
                 continue
             started.start_replica(name)
             made = proxy.Proxy(started.replicas[name])
@@ -286,8 +286,8 @@
         ran = set(itertools.chain.from_iterable(runs.values()))
         innocent = promise.Promise("nothing else is blocked")
         for ask in self.record.asks:
-            innocent.judge(crashing.BLOCKED not in ask.body, f"{ask}")
-        tries = crashing.judge_tries(
+            innocent.judge(poison_load.BLOCKED not in ask.body, f"{ask}")
+        tries = poison_load.judge_tries(
             self._tries, self._supervisor, ran, judge.is_calm
         )
         return [tries, innocent]
--- a/test/test_claims.py
+++ b/test/test_claims.py
@@ -57,7 +57,7 @@
         desk.post(event.Wanted(peer_link.Session(), wish))
         with anyio.fail_after(LONG_S):
             verdict = await decisions.receive()
-        assert verdict == claim.Verdict.UNAVAILABLE.value
+        assert verdict == claim.ClaimStatus.UNAVAILABLE.value
         count = len(log.records)
         with anyio.fail_after(LONG_S):
             while len(log.records) < count + 3:
@@ -77,7 +77,7 @@
     machine = request.RequestMachine(info, needs_claim=True)
     machine.assign("A", info)
     effects = machine.decide_claim(
-        False, claim.make_finish(claim.Verdict.UNAVAILABLE)
+        False, claim.make_finish(claim.ClaimStatus.UNAVAILABLE)
     )
     assert request.Release() in effects
     assert machine.state is request.State.ENDED
@@ -122,4 +122,4 @@
         with anyio.fail_after(LONG_S):
             verdict = await decisions.receive()
         tasks.cancel_scope.cancel()
-    assert verdict == claim.Verdict.HELD.value
+    assert verdict == claim.ClaimStatus.HELD.value
--- a/test/test_conformance.py
+++ b/test/test_conformance.py
@@ -80,14 +80,15 @@
     for log in logs:
         ledger = claim.ClaimLedger()
         for record in log:
-            ledger.read(
+            ledger.apply(
                 claim.ClaimRecord(kinds[record[0]], "k", record[1], "d")
             )
         holder = spec_claim.find_holder(log, rules)
         held = {
             attempt
             for attempt in ("0", "1")
-            if ledger.judge("k", attempt, "d") is claim.Verdict.HELD
+            if ledger.get_claim_status("k", attempt, "d")
+            is claim.ClaimStatus.HELD
         }
         assert held == (set() if holder is None else {str(holder)}), log
     assert len(logs) > 100
@@ -191,7 +192,7 @@
             log.append(landed)
         elif words[1] == "reads":
             who = int(words[0])
-            ones[who].read(read[who], log[read[who]], now)
+            ones[who].apply_record(read[who], log[read[who]], now)
             read[who] += 1
         elif words[1] == "sends":
             sent = ones[int(words[0])].make_record(now)
@@ -214,7 +215,7 @@
         if ones is None:
             continue
         followed += 1
-        able = [one.may_order(float(state.now)) for one in ones]
+        able = [one.may_send_order(float(state.now)) for one in ones]
         allowed = [
             spec_lease.may_order(state, one, rules) for one in state.ones
         ]
--- a/test/test_tree.py
+++ b/test/test_distribution.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ramptray.core import membership, tree
+from ramptray.core import distribution, membership
 
 
 def make_members(count: int, zones: int = 3) -> list[membership.Member]:
@@ -23,27 +23,29 @@
     ]
 
 
-def find_places(members: list[membership.Member]) -> dict[str, tree.Place]:
-    return {m.address: tree.find_place(m, members) for m in members}
+def find_places(
+    members: list[membership.Member],
+) -> dict[str, distribution.Position]:
+    return {m.address: distribution.find_position(m, members) for m in members}
 
 
 def test_a_vm_alone_reads() -> None:
     (alone,) = make_members(1)
-    assert tree.find_place(alone, []).reads
+    assert distribution.find_position(alone, []).reads
 
 
 @pytest.mark.parametrize("count", [2, 6, 78, 195, 414])
 def test_a_few_vms_read_and_all_hear_within_a_few_steps(count: int) -> None:
     places = find_places(make_members(count, zones=5))
     readers = {a for a, place in places.items() if place.reads}
-    assert len(readers) == min(count, tree.READERS)
+    assert len(readers) == min(count, distribution.READERS)
     heard, steps = set(readers), 0
     while len(heard) < count:
         nearer = {a for a, p in places.items() if set(p.sources) & heard}
         assert nearer - heard, "somebody follows nobody who hears"
         heard |= nearer
         steps += 1
-    assert steps <= 1 + math.log(max(2, count / 5), tree.FANOUT) + 1
+    assert steps <= 1 + math.log(max(2, count / 5), distribution.FANOUT) + 1
 
 
 def test_no_vm_has_many_behind_it() -> None:
@@ -53,7 +55,10 @@
         for source in place.sources:
             followers[source] += 1
     # Readers have the heads of all zones and followers of their own zone.
-    assert max(followers.values()) <= 3 * tree.FANOUT + 5 * tree.HEADS
+    assert (
+        max(followers.values())
+        <= 3 * distribution.FANOUT + 5 * distribution.RELAYS_PER_ZONE
+    )
 
 
 def test_slow_vms_have_nobody_behind_them_while_there_are_others() -> None:
@@ -75,7 +80,7 @@
         for address, place in find_places(members).items()
         if {zones[source] for source in place.sources} - {zones[address]}
     ]
-    assert len(crossing) <= 5 * tree.HEADS
+    assert len(crossing) <= 5 * distribution.RELAYS_PER_ZONE
 
 
 def test_turns_are_taken_one_after_the_other() -> None:
--- a/test/test_gossip.py
+++ b/test/test_gossip.py
@@ -84,7 +84,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     made = make_gossiper(["b:1", "c:1"])
-    later = steadyclock.read() + membership.FORGET_S
+    later = steadyclock.read() + membership.DEAD_RETENTION_S
     monkeypatch.setattr(steadyclock, "read", lambda: later)
     assert made.get_part() == 1.0
 
@@ -276,7 +276,7 @@
     others = [membership.Member(f"m{n}", "z", f"m{n}:1", 1) for n in range(40)]
     seed = membership.Member("b", "z", "b:1", 1)
     made.membership.merge([*others, seed], steadyclock.read())
-    neighbours = {m.address for m in made.membership.list_neighbours()}
+    neighbours = {m.address for m in made.membership.list_probe_targets()}
 
     async def run() -> None:
         for _ in range(4 * gossip.OTHER_ZONE_EVERY):
--- a/test/test_keeper.py
+++ b/test/test_keeper.py
@@ -54,7 +54,7 @@
         self.keeper = keeper.BlockKeeper(log, self.blocks, loads)
 
     def knows(self, content: str) -> bool:
-        return self.blocks.get_left(content, steadyclock.read()) > 0
+        return self.blocks.get_remaining_s(content, steadyclock.read()) > 0
 
 
 @contextlib.asynccontextmanager
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -40,14 +40,14 @@
 
     def run(self, rounds: int) -> None:
         for _ in range(rounds):
-            self.now += membership.PERIOD_S
+            self.now += membership.PROBE_INTERVAL_S
             for vm in sorted(self.up):
                 self.probe(vm)
 
     def probe(self, vm: str) -> None:
         view = self.views[vm]
         view.tick(self.now)
-        target = view.pick_target()
+        target = view.pick_probe_target()
         if target is None:
             return
         self.probed[vm].add(target.vm)
@@ -64,9 +64,9 @@
         other.merge([view.me, *view.pick_updates()], self.now)
         view.merge([other.me, *other.pick_updates()], self.now)
         if wanted_after is not None:
-            view.take_page(other.list_page(wanted_after), self.now)
+            view.apply_page(other.list_page(wanted_after), self.now)
         else:
-            view.compare(other.digest)
+            view.compare_digest(other.digest)
 
     def get_alive(self, vm: str) -> set[str]:
         return {member.vm for member in self.views[vm].list_alive()}
--- a/test/test_poison.py
+++ b/test/test_poison.py
@@ -24,7 +24,7 @@
 import pytest
 
 from test import node
-from test.crashing import BODY, LATE_TRIES, MARK, PAUSE_S, Supervisor
+from test.poison_load import BODY, LATE_TRIES, MARK, PAUSE_S, Supervisor
 from test.test_node import ask, wait_until
 
 REPLICAS = 4
--- a/test/test_rollout.py
+++ b/test/test_rollout.py
@@ -23,7 +23,7 @@
 
 ORDER = rollout.Order("lm", "v2", 10.0, 0.0)
 KEY = message.ShardKey("all", "lm")
-PLACES = rollout.Places(10, 10, 0)
+PLACES = rollout.Capacity(10, 10, 0)
 
 
 @pytest.fixture
@@ -50,46 +50,46 @@
             assert outcome.failures <= 50
 
 
-def answer(is_new: bool, failed: bool = False) -> rollout.Answer:
-    return rollout.Answer(is_new, "/a/", failed, 1.0, 0.003)
+def answer(is_new: bool, failed: bool = False) -> rollout.Response:
+    return rollout.Response(is_new, "/a/", failed, 1.0, 0.003)
 
 
 def make_sound(order: rollout.Order = ORDER) -> rollout.Rollout:
     """Returns a rollout whose release has answered well for a while."""
     made = rollout.Rollout(order)
     for _ in range(40):
-        made.take(answer(True))
+        made.record_response(answer(True))
     return made
 
 
 def complete() -> rollout.Rollout:
     """Returns a rollout that has been completed."""
     made = make_sound()
-    made.may_send("v1", 1.0)
+    made.may_receive("v1", 1.0)
     for now in (6.0, 8.0, 9.5):
-        made.decide(PLACES, now)
+        made.advance(PLACES, now)
     assert made.state is rollout.State.COMPLETED
     return made
 
 
 def test_a_release_is_completed_only_when_nothing_runs_on_the_old_one() -> None:
     made = make_sound()
-    busy = rollout.Places(10, 10, 1)
+    busy = rollout.Capacity(10, 10, 1)
     for now in (6.0, 8.0, 9.5):
-        assert made.decide(busy, now) is rollout.State.RUNNING
-    assert not made.may_send("v1", 1.0)
-    assert made.decide(PLACES, 10.0) is rollout.State.COMPLETED
-    assert made.may_send("v2", 1.0)
-    assert not made.may_send("v1", 1.0)
+        assert made.advance(busy, now) is rollout.State.RUNNING
+    assert not made.may_receive("v1", 1.0)
+    assert made.advance(PLACES, 10.0) is rollout.State.COMPLETED
+    assert made.may_receive("v2", 1.0)
+    assert not made.may_receive("v1", 1.0)
 
 
 def test_a_later_release_is_none_of_a_completed_rollout_s() -> None:
     made = make_sound()
     for now in (6.0, 8.0, 9.5):
-        assert made.may_send("v1", 1.0) is (now < 9.5)
-        made.decide(PLACES, now)
+        assert made.may_receive("v1", 1.0) is (now < 9.5)
+        made.advance(PLACES, now)
     assert made.state is rollout.State.COMPLETED
-    assert [r for r in ("v1", "v2", "v3") if made.may_send(r, 1.0)] == [
+    assert [r for r in ("v1", "v2", "v3") if made.may_receive(r, 1.0)] == [
         "v2",
         "v3",
     ]
@@ -97,40 +97,42 @@
 
 def test_a_release_without_places_for_the_traffic_is_not_promoted() -> None:
     made = make_sound()
-    assert made.decide(rollout.Places(2, 10, 0), 9.9) is rollout.State.RUNNING
-    assert made.may_send("v1", 1.0)
+    assert (
+        made.advance(rollout.Capacity(2, 10, 0), 9.9) is rollout.State.RUNNING
+    )
+    assert made.may_receive("v1", 1.0)
 
 
 def test_a_release_that_turns_bad_as_it_is_promoted_is_rolled_back() -> None:
     made = make_sound()
     for now in (6.0, 8.0):
-        made.decide(rollout.Places(10, 10, 5), now)
-    assert not made.may_send("v1", 1.0)
+        made.advance(rollout.Capacity(10, 10, 5), now)
+    assert not made.may_receive("v1", 1.0)
     failures = 0
     while made.state is rollout.State.RUNNING:
-        made.take(answer(True, failed=True))
+        made.record_response(answer(True, failed=True))
         failures += 1
     assert failures < 10
     assert made.state is rollout.State.ROLLED_BACK
-    assert not made.may_send("v2", 1.0)
-    assert made.may_send("v1", 1.0)
+    assert not made.may_receive("v2", 1.0)
+    assert made.may_receive("v1", 1.0)
 
 
 def test_a_final_state_is_never_taken_back() -> None:
     made = complete()
     for _ in range(100):
-        made.take(answer(True, failed=True))
+        made.record_response(answer(True, failed=True))
     assert made.state is rollout.State.COMPLETED
-    made.learn(rollout.Verdict("lm", "v2", rollout.State.ROLLED_BACK))
+    made.apply_verdict(rollout.Verdict("lm", "v2", rollout.State.ROLLED_BACK))
     assert made.state is rollout.State.COMPLETED
 
 
 def test_what_the_log_keeps_goes_before_what_was_decided_here() -> None:
     made = complete()
     kept = rollout.Verdict("lm", "v2", rollout.State.ROLLED_BACK, "", True)
-    made.learn(kept)
+    made.apply_verdict(kept)
     assert made.state is rollout.State.ROLLED_BACK
-    made.learn(msgspec.structs.replace(kept, release="v1"))
+    made.apply_verdict(msgspec.structs.replace(kept, release="v1"))
     assert made.state is rollout.State.ROLLED_BACK
 
 
--- a/test/test_scenario.py
+++ b/test/test_scenario.py
@@ -345,13 +345,13 @@
                 self.append(claim.RecordKind.RELEASE, number)
 
     def append(self, kind: claim.RecordKind, number: int) -> None:
-        self.ledger.read(claim.ClaimRecord(kind, "key", str(number), "d"))
+        self.ledger.apply(claim.ClaimRecord(kind, "key", str(number), "d"))
 
     def decide(self, number: int) -> None:
-        verdict = self.ledger.judge("key", str(number), "d")
+        verdict = self.ledger.get_claim_status("key", str(number), "d")
         if verdict is None:
             return
-        held = verdict is claim.Verdict.HELD
+        held = verdict is claim.ClaimStatus.HELD
         finish = None if held else claim.make_finish(verdict)
         self.perform(number, self.machines[number].decide_claim(held, finish))
 
@@ -494,7 +494,7 @@
 
     def read(self, number: int) -> None:
         for offset, record in enumerate(self.log):
-            self.ones[number].read(offset, record, self.now)
+            self.ones[number].apply_record(offset, record, self.now)
 
 
 @given("two controllers contend for a lease", target_fixture="leases")
@@ -507,7 +507,7 @@
 @when("the first holds the lease")
 def _(leases: LeaseWorld) -> None:
     leases.let_run(0, 3.0, log_up=True)
-    assert leases.ones[0].may_order(leases.now)
+    assert leases.ones[0].may_send_order(leases.now)
 
 
 @when(
@@ -518,13 +518,13 @@
 def _(leases: LeaseWorld, seconds: int) -> None:
     leases.let_run(0, 3.0, log_up=True)
     leases.read(1)
-    assert leases.ones[0].may_order(leases.now)
+    assert leases.ones[0].may_send_order(leases.now)
     leases.let_run(1, seconds, log_up=True)
 
 
 @when("the second takes the lease")
 def _(leases: LeaseWorld) -> None:
-    assert leases.ones[1].may_order(leases.now)
+    assert leases.ones[1].may_send_order(leases.now)
 
 
 @when(parsers.parse("the log is down for {seconds:d} seconds"))
@@ -534,19 +534,19 @@
 
 @then("the first may give no order when it wakes up")
 def _(leases: LeaseWorld) -> None:
-    assert not leases.ones[0].may_order(leases.now)
+    assert not leases.ones[0].may_send_order(leases.now)
     leases.read(0)
-    assert not leases.ones[0].may_order(leases.now)
+    assert not leases.ones[0].may_send_order(leases.now)
 
 
 @then("the second's fencing number is higher")
 def _(leases: LeaseWorld) -> None:
-    assert leases.ones[1].fencing > leases.ones[0].fencing
+    assert leases.ones[1].fencing_token > leases.ones[0].fencing_token
 
 
 @then("nobody may give orders")
 def _(leases: LeaseWorld) -> None:
-    assert not any(one.may_order(leases.now) for one in leases.ones)
+    assert not any(one.may_send_order(leases.now) for one in leases.ones)
 
 
 # Bundles.
