--- a/bench/decide.py
+++ b/bench/decide.py
@@ -74,7 +74,7 @@
     return _collect(out)
 
 
-def _collect(out: list[owner_effect.ToEntry]) -> list[str]:
+def _collect(out: list[owner_effect.SendToEntry]) -> list[str]:
     return [
         effect.message.request_id
         for effect in out
--- a/bench/replay/world.py
+++ b/bench/replay/world.py
@@ -225,7 +225,7 @@
         if owner is self._owner:
             self._deliver(owner.receive(ENTRY, told, self.timer.now))
 
-    def _deliver(self, effects: list[owner_effect.ToEntry]) -> None:
+    def _deliver(self, effects: list[owner_effect.SendToEntry]) -> None:
         for effect in effects:
             at = self.timer.now + WAY_S
             self.timer.call_at(at, self._hear, effect.message)
@@ -245,7 +245,7 @@
 
     def _make_owner(self) -> shard.ShardOwner:
         customers = self._given.customers
-        rate = limit.Rate(
+        rate = limit.RateLimit(
             tokens_per_s=customers.tokens_per_s,
             span_s=customers.span_s,
             span_total=customers.span_total,
--- a/ramptray/core/separation.py
+++ b/ramptray/core/anti_affinity.py
@@ -10,12 +10,12 @@
 IsSuspect = Callable[[str], bool]
 
 
-def suspect_none(content: str) -> bool:
+def suspect_nothing(content: str) -> bool:
     """Stands in where nothing is known of contents."""
     return False
 
 
-def keep_apart(
+def separate_suspects(
     candidates: list[backends.Backend],
     request: message.RequestInfo,
     is_suspect: IsSuspect,
--- a/ramptray/core/backend.py
+++ b/ramptray/core/backend.py
@@ -354,7 +354,7 @@
         self.placed[request.request_id] = placed
         self.pending[request.request_id] = placed
         self.held_tokens += placed.tokens
-        self._pacer.note(now)
+        self._pacer.record_send(now)
         self.pauses.note_sent(entry, request.request_id, now)
         self.cache.add(request.prefix, request.prefix_tokens)
         return placed
--- a/ramptray/core/eligibility.py
+++ b/ramptray/core/eligibility.py
@@ -33,7 +33,7 @@
     def list_open_to(
         self,
         candidates: list[backends.Backend],
-        waiting: queue.Waiting,
+        waiting: queue.QueuedRequest,
         now: float,
     ) -> list[backends.Backend]:
         """Returns the candidates that a request may be sent to now."""
@@ -79,7 +79,7 @@
             known.pauses.allows(entry, now) for known in usable
         )
 
-    def get_pause(self, waiting: queue.Waiting, now: float) -> float:
+    def get_pause(self, waiting: queue.QueuedRequest, now: float) -> float:
         """Returns the seconds for which all servers want a request to wait.
 
         Args:
--- a/ramptray/core/fleet.py
+++ b/ramptray/core/fleet.py
@@ -279,7 +279,7 @@
         return rate_per_s
 
     def list_fastest(
-        self, waiting: queue.Waiting, now: float
+        self, waiting: queue.QueuedRequest, now: float
     ) -> list[backends.Backend]:
         """Returns the fastest backend servers that a request may go to."""
         usable = self.eligibility.list_open_to(self._fastest, waiting, now)
--- a/ramptray/core/granting.py
+++ b/ramptray/core/granting.py
@@ -12,11 +12,11 @@
     limit,
     message,
     owner_effect,
-    pace,
     queue,
     release,
     selector,
     shedding,
+    wait_estimator,
 )
 from ramptray.core import rules as shard_rules
 
@@ -50,7 +50,7 @@
         servers: fleet.Fleet,
         limits: limit.Limits,
         chosen: selector.Selector,
-        paced: pace.Pace,
+        paced: wait_estimator.WaitEstimator,
         releases: release.ReleaseGate,
         counters: shedding.Counters,
     ) -> None:
@@ -67,7 +67,7 @@
 
     def grant(
         self, now: float, only: list[backends.Backend] | None = None
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         """Grants as much as fits, highest tier first.
 
         Args:
@@ -82,9 +82,9 @@
 
     def _grant_at(
         self, now: float, only: list[backends.Backend] | None
-    ) -> list[owner_effect.ToEntry]:
-        out: list[owner_effect.ToEntry] = []
-        ahead: list[queue.Waiting] = []
+    ) -> list[owner_effect.SendToEntry]:
+        out: list[owner_effect.SendToEntry] = []
+        ahead: list[queue.QueuedRequest] = []
         for rank, tier in enumerate(self._queue.tiers):
             share = 1.0 if rank == 0 else 1.0 - self.rules.headroom
             while granted := self._grant_one(tier, share, now, only, ahead):
@@ -99,7 +99,7 @@
 
     def _list_heads(
         self, tier: queue.TierQueue, now: float
-    ) -> list[queue.Waiting]:
+    ) -> list[queue.QueuedRequest]:
         """Returns the requests that are tried first.
 
         In a pause of one entry, the requests of others are not held up by it.
@@ -117,8 +117,8 @@
         share: float,
         now: float,
         only: list[backends.Backend] | None,
-        ahead: list[queue.Waiting],
-    ) -> owner_effect.ToEntry | None:
+        ahead: list[queue.QueuedRequest],
+    ) -> owner_effect.SendToEntry | None:
         """Grants one request of a tier, if there is a place for one.
 
         Args:
@@ -133,7 +133,7 @@
             return None
         self._demote_late_heads(tier, now)
         window = self._selector.take_window() if only is None else only
-        passed: list[queue.Waiting] = []
+        passed: list[queue.QueuedRequest] = []
         for waiting in self._list_heads(tier, now):
             candidates = window
             if only is None:
@@ -164,10 +164,10 @@
     def _place(
         self,
         tier: queue.TierQueue,
-        waiting: queue.Waiting,
+        waiting: queue.QueuedRequest,
         chosen: backends.Backend,
         now: float,
-    ) -> owner_effect.ToEntry:
+    ) -> owner_effect.SendToEntry:
         request = waiting.request
         grant_id = f"{self._address}#{next(self._grant_ids)}"
         uncached = chosen.count_uncached(request)
@@ -180,7 +180,7 @@
         self._pace.count_grant(waiting, now)
         self._counters.granted += 1
         self._releases.note_sent(chosen)
-        return owner_effect.ToEntry(
+        return owner_effect.SendToEntry(
             waiting.entry,
             message.Grant(
                 request.request_id,
@@ -193,7 +193,7 @@
                 chosen.info.run,
                 chosen.limit_per_s,
             ),
-            owner_effect.Basis(
+            owner_effect.DecisionInputs(
                 len(self._queue),
                 len(chosen.placed),
                 chosen.info.max_running,
@@ -225,7 +225,7 @@
                 ahead += 1
 
 
-def _get_left(waiting: queue.Waiting, now: float) -> float | None:
+def _get_left(waiting: queue.QueuedRequest, now: float) -> float | None:
     """Returns the seconds left for an answer in time, for the logs."""
     if waiting.late_at == math.inf:
         return None
--- a/ramptray/core/limit.py
+++ b/ramptray/core/limit.py
@@ -58,12 +58,12 @@
 """Customers whose use is sent to other zones."""
 
 
-class Rate(msgspec.Struct, frozen=True):
+class RateLimit(msgspec.Struct, frozen=True):
     """A customer's limit in one zone; None where there is none.
 
     Attributes:
         requests_per_s: Requests a second.
-        tokens_per_s: Cost a second, as ``queue.weigh`` counts it.
+        tokens_per_s: Cost a second, as ``queue.compute_cost`` counts it.
         burst: What may be used at once; None for two seconds' worth.
         span_s: Span over which a total is held instead; None for none.
         span_total: Most of what is counted in any such span.
@@ -96,7 +96,7 @@
     span_total: float = 0.0
 
 
-def _make_shape(rate: Rate, per_s: float) -> _Shape:
+def _make_shape(rate: RateLimit, per_s: float) -> _Shape:
     """Returns the shape of a bucket for one kind of what is counted."""
     if rate.span_s is not None:
         total = rate.span_total * USE_PART
@@ -247,7 +247,7 @@
         server_part: The part of backend servers' rate limits likewise.
     """
 
-    def __init__(self, rates: dict[str, Rate]) -> None:
+    def __init__(self, rates: dict[str, RateLimit]) -> None:
         self._rates = rates
         self.part = 1.0
         self.server_part = 1.0
@@ -255,7 +255,7 @@
         self._former: dict[str, list[tuple[str, _Bucket]]] = {}
         self._wanted_elsewhere: frozenset[str] = frozenset()
 
-    def set_rates(self, rates: dict[str, Rate]) -> None:
+    def set_rates(self, rates: dict[str, RateLimit]) -> None:
         """Takes the rates of the bundle in force; the same change nothing."""
         if rates != self._rates:
             self._rates = rates
@@ -277,7 +277,7 @@
             for _, bucket in buckets:
                 bucket.set_rate(bucket.share * part)
 
-    def check(self, customer: str, cost: int, now: float) -> float:
+    def try_acquire(self, customer: str, cost: int, now: float) -> float:
         """Takes a request from the customer's buckets if it fits.
 
         Returns:
@@ -294,13 +294,13 @@
                 bucket.take(amounts[kind], now)
         return wait_s
 
-    def give_back(self, customer: str, cost: int, taken_at: float) -> None:
+    def refund(self, customer: str, cost: int, taken_at: float) -> None:
         """Takes back what a request took that did not run.
 
         Args:
             customer: The customer.
             cost: What it was counted as.
-            taken_at: When ``check`` let it through.
+            taken_at: When ``try_acquire`` let it through.
         """
         amounts = _make_amounts(cost)
         for kind, bucket in self._buckets.get(customer, []):
@@ -354,7 +354,7 @@
 
     def _get(self, customer: str, now: float) -> list[tuple[str, _Bucket]]:
         if customer not in self._buckets:
-            rate = self._rates.get(customer, Rate())
+            rate = self._rates.get(customer, RateLimit())
             kinds = [
                 ("requests", rate.requests_per_s),
                 ("tokens", rate.tokens_per_s),
--- a/ramptray/core/owner_effect.py
+++ b/ramptray/core/owner_effect.py
@@ -7,7 +7,7 @@
 from ramptray.core import message
 
 
-class Basis(msgspec.Struct, frozen=True):
+class DecisionInputs(msgspec.Struct, frozen=True):
     """Inputs of a decision on a request, for the logs.
 
     Attributes:
@@ -32,9 +32,9 @@
     rate_limit_per_s: float | None = None
 
 
-class ToEntry(msgspec.Struct, frozen=True):
+class SendToEntry(msgspec.Struct, frozen=True):
     """Effect: send this message to the named entry."""
 
     entry: str
     message: message.OwnerMessage
-    basis: Basis | None = None
+    basis: DecisionInputs | None = None
--- a/ramptray/core/pacer.py
+++ b/ramptray/core/pacer.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self._last_at = -math.inf
 
-    def note(self, sent_at: float) -> None:
+    def record_send(self, sent_at: float) -> None:
         """Counts a request.
 
         Args:
--- a/ramptray/core/queue.py
+++ b/ramptray/core/queue.py
@@ -23,12 +23,12 @@
 """Entries of a customer whose first request is listed."""
 
 
-def weigh(request: message.RequestInfo) -> int:
+def compute_cost(request: message.RequestInfo) -> int:
     """Returns a request's cost in prompt tokens, for queues and fairness."""
     return request.prompt_tokens + OUTPUT_WEIGHT * request.output_tokens
 
 
-class Waiting(msgspec.Struct):
+class QueuedRequest(msgspec.Struct):
     """A request in the queue.
 
     Attributes:
@@ -75,12 +75,14 @@
     def __init__(self) -> None:
         self.cost = 0
         self.count = 0
-        self._queues: dict[str, collections.OrderedDict[str, Waiting]] = {}
+        self._queues: dict[
+            str, collections.OrderedDict[str, QueuedRequest]
+        ] = {}
         self._used: dict[str, float] = {}
         self._virtual = 0.0
         self._heap: list[tuple[float, str]] = []
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedRequest) -> None:
         """Adds a request behind its customer's others."""
         customer = waiting.request.customer
         queue = self._queues.get(customer)
@@ -93,13 +95,13 @@
         self.cost += waiting.cost
         self.count += 1
 
-    def restore(self, waiting: Waiting) -> None:
+    def restore(self, waiting: QueuedRequest) -> None:
         """Puts a request back at the head of its customer's queue."""
         self.push(waiting)
         queue = self._queues[waiting.request.customer]
         queue.move_to_end(waiting.request.request_id, last=False)
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: QueuedRequest) -> None:
         """Takes a request out, wherever it stands."""
         customer = waiting.request.customer
         queue = self._queues[customer]
@@ -109,7 +111,7 @@
         self.cost -= waiting.cost
         self.count -= 1
 
-    def charge(self, waiting: Waiting, share: float) -> None:
+    def charge(self, waiting: QueuedRequest, share: float) -> None:
         """Counts a granted request against its customer's share."""
         customer = waiting.request.customer
         used = self._used.get(customer, self._virtual)
@@ -122,7 +124,7 @@
 
     def list_heads(
         self, most: int, is_held: Callable[[str], bool] | None = None
-    ) -> list[Waiting]:
+    ) -> list[QueuedRequest]:
         """Returns the first request of up to ``most`` customers, in order.
 
         Args:
@@ -131,7 +133,7 @@
                 now.  With it, the first requests of a few other entries are
                 listed of each customer.
         """
-        heads: list[Waiting] = []
+        heads: list[QueuedRequest] = []
         taken: list[tuple[float, str]] = []
         while self._heap and len(taken) < most:
             used, customer = heapq.heappop(self._heap)
@@ -150,11 +152,11 @@
             heapq.heappush(self._heap, item)
         return heads
 
-    def list_all(self) -> list[Waiting]:
+    def list_all(self) -> list[QueuedRequest]:
         """Returns every waiting request, each customer's in order."""
         return [w for queue in self._queues.values() for w in queue.values()]
 
-    def pick_victim(self) -> Waiting | None:
+    def pick_victim(self) -> QueuedRequest | None:
         """Returns the request to shed first, or None.
 
         It is the newest one of the customer furthest over its share.
@@ -182,7 +184,7 @@
     """
 
     def __init__(self, ranks: dict[str, int]) -> None:
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
         self.tiers: list[TierQueue] = []
         self.set_ranks(ranks)
 
@@ -210,7 +212,7 @@
                 waiting.rank = self._open_late_rank(waiting.rank)
             self.tiers[waiting.rank].push(waiting)
 
-    def demote(self, waiting: Waiting) -> None:
+    def demote(self, waiting: QueuedRequest) -> None:
         """Moves a request that is too late behind all that are not.
 
         Among the late ones the tiers keep their order.
@@ -227,30 +229,30 @@
 
     def make(
         self, request: message.RequestInfo, entry: str, now: float
-    ) -> Waiting:
+    ) -> QueuedRequest:
         """Returns a request as it would wait; it does not yet."""
-        return Waiting(
+        return QueuedRequest(
             request,
             entry,
             self._get_rank(request),
             deadline=now + request.deadline_s,
-            cost=weigh(request),
+            cost=compute_cost(request),
             since=now,
             late_at=_add(now, request.objective_s),
             refuse_at=_add(now, request.wait_s),
         )
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedRequest) -> None:
         """Adds a request behind its customer's others."""
         self._waiting[waiting.request.request_id] = waiting
         self.tiers[waiting.rank].push(waiting)
 
-    def restore(self, waiting: Waiting) -> None:
+    def restore(self, waiting: QueuedRequest) -> None:
         """Puts a request back at the head of its customer's queue."""
         self._waiting[waiting.request.request_id] = waiting
         self.tiers[waiting.rank].restore(waiting)
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: QueuedRequest) -> None:
         """Takes a request out."""
         del self._waiting[waiting.request.request_id]
         self.tiers[waiting.rank].remove(waiting)
@@ -266,11 +268,11 @@
             if waiting.entry == entry:
                 self.remove(waiting)
 
-    def list_all(self) -> list[Waiting]:
+    def list_all(self) -> list[QueuedRequest]:
         """Returns every waiting request, in order of arrival."""
         return list(self._waiting.values())
 
-    def list_behind(self) -> list[Waiting]:
+    def list_behind(self) -> list[QueuedRequest]:
         """Returns the late requests while others wait that may be in time.
 
         They would begin only after all of those, and more arrive meanwhile.
@@ -281,7 +283,7 @@
         late = self.tiers[self._tier_count :]
         return [waiting for tier in late for waiting in tier.list_all()]
 
-    def list_expired(self, now: float) -> list[Waiting]:
+    def list_expired(self, now: float) -> list[QueuedRequest]:
         """Returns the requests that are not to wait any longer."""
         return [
             w
@@ -289,17 +291,17 @@
             if min(w.deadline, w.refuse_at) <= now
         ]
 
-    def pick_victim(self) -> Waiting | None:
+    def pick_victim(self) -> QueuedRequest | None:
         """Returns the request to shed first: one of the lowest tier."""
         victims = (tier.pick_victim() for tier in reversed(self.tiers))
         return next((v for v in victims if v is not None), None)
 
-    def get_cost_ahead(self, waiting: Waiting) -> int:
+    def get_cost_ahead(self, waiting: QueuedRequest) -> int:
         """Returns the cost of what goes before a request at most."""
         ahead = sum(tier.cost for tier in self.tiers[: waiting.rank + 1])
         return ahead - waiting.cost
 
-    def get_count_ahead(self, waiting: Waiting) -> int:
+    def get_count_ahead(self, waiting: QueuedRequest) -> int:
         """Returns how many requests that may be in time go before one."""
         in_time = self.tiers[: self._tier_count]
         ahead = sum(tier.count for tier in in_time[: waiting.rank + 1])
@@ -315,10 +317,10 @@
 
 
 def _list_first_of_entries(
-    line: Iterable[Waiting], is_held: Callable[[str], bool]
-) -> list[Waiting]:
+    line: Iterable[QueuedRequest], is_held: Callable[[str], bool]
+) -> list[QueuedRequest]:
     """Returns the first requests of a few entries in a customer's line."""
-    first: dict[str, Waiting] = {}
+    first: dict[str, QueuedRequest] = {}
     for waiting in itertools.islice(line, LOOKED_AT):
         if waiting.entry not in first and not is_held(waiting.entry):
             first[waiting.entry] = waiting
--- a/ramptray/core/remote.py
+++ b/ramptray/core/remote_shards.py
@@ -22,16 +22,18 @@
         """Takes the newest summary of each zone."""
         self._summaries = {found.shard.zone: found for found in summaries}
 
-    def has_room(self, waiting: queue.Waiting) -> bool:
+    def has_room(self, waiting: queue.QueuedRequest) -> bool:
         """Returns whether some zone would keep a request."""
         return bool(self._list_rooms(waiting))
 
-    def pick(self, waiting: queue.Waiting) -> summary.ShardSummary | None:
+    def pick(self, waiting: queue.QueuedRequest) -> summary.ShardSummary | None:
         """Returns the zone with room where least waits, if there is one."""
         rooms = self._list_rooms(waiting)
         return min(rooms, key=lambda found: sum(found.waiting), default=None)
 
-    def _list_rooms(self, waiting: queue.Waiting) -> list[summary.ShardSummary]:
+    def _list_rooms(
+        self, waiting: queue.QueuedRequest
+    ) -> list[summary.ShardSummary]:
         tried = (*waiting.request.spilled_from, self._zone)
         return [
             found
--- a/ramptray/core/request.py
+++ b/ramptray/core/request.py
@@ -37,7 +37,7 @@
     grant: message.Grant
 
 
-class Tell(msgspec.Struct, frozen=True):
+class SendToOwner(msgspec.Struct, frozen=True):
     """Effect: send this message to the named scheduler."""
 
     owner: str
@@ -62,7 +62,7 @@
     backend: str
 
 
-Effect = Dispatch | Tell | Finish | Release | Cancel
+Effect = Dispatch | SendToOwner | Finish | Release | Cancel
 
 
 class RequestMachine:
@@ -109,18 +109,20 @@
             return []
         effects: list[Effect] = []
         if previous is not None and previous != owner:
-            effects.append(Tell(previous, message.Withdraw(info.request_id)))
+            effects.append(
+                SendToOwner(previous, message.Withdraw(info.request_id))
+            )
         if self.state is State.DISPATCHED and self._grant:
             running = message.Running(
                 info, self._grant.backend, elapsed_s, 0, self._grant.run
             )
-            return [*effects, Tell(owner, running)]
+            return [*effects, SendToOwner(owner, running)]
         self._grant = None
-        return [*effects, Tell(owner, message.Enqueue(info))]
+        return [*effects, SendToOwner(owner, message.Enqueue(info))]
 
     def receive_grant(self, grant: message.Grant) -> list[Effect]:
         """Uses a grant if, and only if, the request still waits for one."""
-        decline = Tell(
+        decline = SendToOwner(
             grant.owner, message.Decline(grant.request_id, grant.grant_id)
         )
         if self.state is not State.WAITING or grant.owner != self.owner:
@@ -194,7 +196,7 @@
             self.info.silent,
             waits=True,
         )
-        return [Tell(self.owner or grant.owner, decline)]
+        return [SendToOwner(self.owner or grant.owner, decline)]
 
     def fail_attempt(
         self,
@@ -238,15 +240,15 @@
         if self.owner is None:
             return []
         return [
-            Tell(self.owner, ended),
-            Tell(self.owner, message.Enqueue(self.info)),
+            SendToOwner(self.owner, ended),
+            SendToOwner(self.owner, message.Enqueue(self.info)),
         ]
 
     def complete(self, ended: message.Ended) -> list[Effect]:
         """Ends a dispatched request whose whole answer has arrived."""
         return self._end_dispatched(Finish(message.Outcome.COMPLETE), ended)
 
-    def refuse(self, ended: message.Ended) -> list[Effect]:
+    def end_refused(self, ended: message.Ended) -> list[Effect]:
         """Ends a request that its backend server says it did not admit."""
         finish = Finish(
             message.Outcome.NOT_RUN, message.Reason.BACKEND_REFUSED, 1.0
@@ -256,7 +258,7 @@
             effects.append(Release())
         return effects
 
-    def lose(
+    def end_unknown(
         self, reason: message.Reason, ended: message.Ended
     ) -> list[Effect]:
         """Ends a dispatched request whose answer cannot be had any more."""
@@ -264,7 +266,7 @@
             Finish(message.Outcome.UNKNOWN, reason), ended
         )
 
-    def abandon(self, ended: message.Ended) -> list[Effect]:
+    def cancel(self, ended: message.Ended) -> list[Effect]:
         """Ends the request because its caller has gone."""
         if self.state is State.WAITING:
             return self._end_unrun(message.Reason.CALLER_GONE, 0.0)
@@ -274,7 +276,7 @@
         finish = Finish(message.Outcome.UNKNOWN, message.Reason.CALLER_GONE)
         return [Cancel(backend), *self._end_dispatched(finish, ended)]
 
-    def give_up(
+    def reject(
         self, reason: message.Reason, retry_after_s: float
     ) -> list[Effect]:
         """Ends a waiting request for the entry's own reasons."""
@@ -308,7 +310,7 @@
     def _leave_owner(self) -> list[Effect]:
         if self.owner is None:
             return []
-        return [Tell(self.owner, message.Withdraw(self.info.request_id))]
+        return [SendToOwner(self.owner, message.Withdraw(self.info.request_id))]
 
     def _end_dispatched(
         self, finish: Finish, ended: message.Ended
@@ -316,5 +318,5 @@
         if self.state is not State.DISPATCHED:
             return []
         self.state = State.ENDED
-        messages = [Tell(self.owner, ended)] if self.owner else []
+        messages = [SendToOwner(self.owner, ended)] if self.owner else []
         return [*messages, finish]
--- a/ramptray/core/retry.py
+++ b/ramptray/core/retry.py
@@ -43,7 +43,7 @@
         """Counts a request of a service."""
         self._requests[service].add(1, now)
 
-    def has_left(self, service: str, now: float) -> bool:
+    def has_attempts_left(self, service: str, now: float) -> bool:
         """Returns whether the budget has a further attempt left."""
         requests = self._requests[service].get_sum(now)
         allowed = self.rules.extra + self.rules.ratio * requests
@@ -51,7 +51,7 @@
 
     def take(self, service: str, now: float) -> bool:
         """Takes one further attempt, if the budget has any left."""
-        if not self.has_left(service, now):
+        if not self.has_attempts_left(service, now):
             return False
         self._retries[service].add(1, now)
         return True
--- a/ramptray/core/rules.py
+++ b/ramptray/core/rules.py
@@ -12,7 +12,7 @@
 
     Attributes:
         ranks: Rank of each tier by name; 0 is the highest.
-        queue_cost: Cost that may wait, as ``queue.weigh`` counts it.
+        queue_cost: Cost that may wait, as ``queue.compute_cost`` counts it.
         headroom: Part of each engine's places kept for the highest tier.
         shares: Weight of each customer within a tier.
         limits: Rates of each customer in this zone.
@@ -23,5 +23,5 @@
     queue_cost: int
     headroom: float
     shares: dict[str, float]
-    limits: dict[str, limit.Rate]
+    limits: dict[str, limit.RateLimit]
     version: str = ""
--- a/ramptray/core/selector.py
+++ b/ramptray/core/selector.py
@@ -5,16 +5,16 @@
 import math
 from collections.abc import Sequence
 
-from ramptray.core import backend as backends
 from ramptray.core import (
+    anti_affinity,
     fleet,
     limit,
     message,
     policy,
     queue,
     release,
-    separation,
 )
+from ramptray.core import backend as backends
 
 
 class Selector:
@@ -34,7 +34,7 @@
         chosen: policy.Policy,
         limits: limit.Limits,
         releases: release.ReleaseGate,
-        is_suspect: separation.IsSuspect,
+        is_suspect: anti_affinity.IsSuspect,
     ) -> None:
         self._fleet = servers
         self._policy = chosen
@@ -58,11 +58,11 @@
 
     def select(
         self,
-        waiting: queue.Waiting,
+        waiting: queue.QueuedRequest,
         share: float,
         now: float,
         candidates: list[backends.Backend],
-        ahead: Sequence[queue.Waiting],
+        ahead: Sequence[queue.QueuedRequest],
     ) -> backends.Backend | None:
         """Returns the backend server for a request; None to keep it waiting.
 
@@ -76,7 +76,7 @@
         """
         usable = self._fleet.eligibility.list_open_to(candidates, waiting, now)
         usable = self._releases.list_open(usable)
-        usable = separation.keep_apart(
+        usable = anti_affinity.separate_suspects(
             usable, waiting.request, self._is_suspect
         )
         return self._releases.choose(
@@ -85,7 +85,7 @@
         )
 
     def is_too_late(
-        self, waiting: queue.Waiting, now: float, wait_s: float = 0.0
+        self, waiting: queue.QueuedRequest, now: float, wait_s: float = 0.0
     ) -> bool:
         """Returns whether an answer can begin in time nowhere any more.
 
@@ -103,7 +103,7 @@
     def _exclude_reserved(
         self,
         candidates: list[backends.Backend],
-        ahead: Sequence[queue.Waiting],
+        ahead: Sequence[queue.QueuedRequest],
         now: float,
     ) -> list[backends.Backend]:
         """Returns the candidates that no waiting request ahead may go to.
@@ -124,7 +124,7 @@
 
     def _make_demand(
         self,
-        waiting: queue.Waiting,
+        waiting: queue.QueuedRequest,
         share: float,
         now: float,
         wait_s: float = 0.0,
--- a/ramptray/core/shard.py
+++ b/ramptray/core/shard.py
@@ -12,23 +12,23 @@
 import msgspec
 import xxhash
 
-from ramptray.core import backend as backends
 from ramptray.core import (
+    anti_affinity,
     fleet,
     granting,
     limit,
     message,
     owner_effect,
-    pace,
     policy,
     queue,
     release,
-    remote,
+    remote_shards,
     selector,
-    separation,
     shedding,
     summary,
+    wait_estimator,
 )
+from ramptray.core import backend as backends
 from ramptray.core import rules as shard_rules
 
 REPORT_GRACE_S = 1.0
@@ -56,7 +56,7 @@
         report_grace_s: float = REPORT_GRACE_S,
         limits: limit.Limits | None = None,
         speeds: Mapping[str, message.SpeedLearned] | None = None,
-        is_suspect: separation.IsSuspect = separation.suspect_none,
+        is_suspect: anti_affinity.IsSuspect = anti_affinity.suspect_nothing,
     ) -> None:
         self.shard = shard
         self.fleet = fleet.Fleet(now + report_grace_s, speeds or {})
@@ -65,10 +65,12 @@
         self._queue = queue.ShardQueue(rules.ranks)
         self._syncing: dict[str, set[str]] = {}
         self._entries: set[str] = set()
-        self._remote = remote.RemoteShards(shard)
+        self._remote = remote_shards.RemoteShards(shard)
         self._limits = limits or limit.Limits(rules.limits)
         self.releases = release.ReleaseGate(self.fleet, chosen, self._limits)
-        self._pace = pace.Pace(self._queue, self.fleet, self._limits)
+        self._pace = wait_estimator.WaitEstimator(
+            self._queue, self.fleet, self._limits
+        )
         self._shedder = shedding.Shedder(
             self._queue,
             self.fleet,
@@ -176,7 +178,7 @@
 
     def receive(
         self, entry: str, received: message.EntryMessage, now: float
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         """Takes one message from an entry and returns what to send."""
         match received:
             case message.Enqueue(request):
@@ -208,13 +210,13 @@
 
     def grant(
         self, now: float, only: list[backends.Backend] | None = None
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         """Grants as much as fits, see ``granting.Granter.grant``."""
         return self._granter.grant(now, only)
 
     def refuse_waiting(
         self, content: str, left_s: float
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         """Refuses what waits with a content that is blocked from now on."""
         return self._shedder.refuse_content(content, left_s)
 
@@ -223,14 +225,14 @@
         self._syncing[entry] = self.fleet.list_of_entry(entry)
         self._queue.discard_entry(entry)
 
-    def lose_entry(self, entry: str, now: float) -> None:
+    def detach_entry(self, entry: str, now: float) -> None:
         """Drops what an entry had waiting; what runs keeps its place."""
         self._syncing.pop(entry, None)
         self._entries.discard(entry)
         self._queue.discard_entry(entry)
         self.fleet.lose_entry(entry, now)
 
-    def tick(self, now: float) -> list[owner_effect.ToEntry]:
+    def tick(self, now: float) -> list[owner_effect.SendToEntry]:
         """Gives up what is past its deadline and frees lost places."""
         out = self._shedder.refuse_expired(now)
         self.fleet.refresh(now, self._limits.server_part)
@@ -242,7 +244,7 @@
 
     def _enqueue(
         self, entry: str, request: message.RequestInfo, now: float
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         self._entries.add(entry)
         request_id = request.request_id
         if request_id in self._syncing.get(entry, set()):
@@ -288,7 +290,7 @@
 
     def _take_back(
         self, entry: str, decline: message.Decline, now: float
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         """Frees the place of a declined grant; the request waits again."""
         request_id = decline.request_id
         backend = self.fleet.find(request_id)
--- a/ramptray/core/shedding.py
+++ b/ramptray/core/shedding.py
@@ -12,9 +12,9 @@
     message,
     meter,
     owner_effect,
-    pace,
     queue,
-    remote,
+    remote_shards,
+    wait_estimator,
 )
 
 SHED_WINDOW_S = 60.0
@@ -66,8 +66,8 @@
         waiting: queue.ShardQueue,
         servers: fleet.Fleet,
         limits: limit.Limits,
-        paced: pace.Pace,
-        others: remote.RemoteShards,
+        paced: wait_estimator.WaitEstimator,
+        others: remote_shards.RemoteShards,
         entries: Collection[str],
         born: float,
     ) -> None:
@@ -87,8 +87,8 @@
         return {tier: shed.get_sum(now) for tier, shed in self._shed.items()}
 
     def admit(
-        self, waiting: queue.Waiting, now: float
-    ) -> owner_effect.ToEntry | None:
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> owner_effect.SendToEntry | None:
         """Counts a request against its customer's limit.
 
         A request that was admitted before, here or elsewhere, is not counted
@@ -101,7 +101,7 @@
         if request.spilled_from or request.attempt:
             return None
         counted = _count(waiting)
-        wait_s = self._limits.check(request.customer, counted, now)
+        wait_s = self._limits.try_acquire(request.customer, counted, now)
         if wait_s == 0.0:
             waiting.counted_at = now
             return None
@@ -110,7 +110,7 @@
 
     def refuse_content(
         self, content: str, left_s: float
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         """Refuses what waits with a content that is blocked from now on."""
         found = [
             waiting
@@ -124,14 +124,14 @@
             for waiting in found
         ]
 
-    def refuse_expired(self, now: float) -> list[owner_effect.ToEntry]:
+    def refuse_expired(self, now: float) -> list[owner_effect.SendToEntry]:
         """Refuses the requests that may not wait any longer."""
         return [
             self._refuse(waiting, _get_expiry_reason(waiting, now), now)
             for waiting in self._queue.list_expired(now)
         ]
 
-    def refuse_late(self, now: float) -> list[owner_effect.ToEntry]:
+    def refuse_late(self, now: float) -> list[owner_effect.SendToEntry]:
         """Refuses late requests at once while others wait in time.
 
         Load pattern: more is asked than the engines can do for some seconds.
@@ -146,8 +146,8 @@
         ]
 
     def refuse_out_of_reach(
-        self, waiting: queue.Waiting, now: float
-    ) -> list[owner_effect.ToEntry]:
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> list[owner_effect.SendToEntry]:
         """Gives up a request whose entry can reach no backend server.
 
         Its caller may come back to another VM.
@@ -157,8 +157,8 @@
         return [self._turn_away(waiting, now, message.Reason.NO_BACKEND)]
 
     def refuse_paused(
-        self, candidates: Iterable[queue.Waiting], now: float
-    ) -> list[owner_effect.ToEntry]:
+        self, candidates: Iterable[queue.QueuedRequest], now: float
+    ) -> list[owner_effect.SendToEntry]:
         """Turns away what every server wants to wait for longer than it may.
 
         Load pattern: all servers of a service turn requests away and ask the
@@ -173,10 +173,10 @@
         ]
 
     def make_room(
-        self, newest: queue.Waiting, now: float
-    ) -> list[owner_effect.ToEntry]:
+        self, newest: queue.QueuedRequest, now: float
+    ) -> list[owner_effect.SendToEntry]:
         """Turns away what the queue cannot hold after a request has come."""
-        out: list[owner_effect.ToEntry] = []
+        out: list[owner_effect.SendToEntry] = []
         while self._queue.cost > self.queue_cost:
             victim = self._queue.pick_victim()
             if victim is None or len(self._queue) == 1:
@@ -189,7 +189,7 @@
             out.append(self._turn_away(newest, now, reason))
         return [*out, *self.spill_over(now)]
 
-    def spill_over(self, now: float) -> list[owner_effect.ToEntry]:
+    def spill_over(self, now: float) -> list[owner_effect.SendToEntry]:
         """Turns everything away while no backend server is left here.
 
         A new owner first waits for the summaries of the other zones.
@@ -204,7 +204,9 @@
             if not is_starting or self._remote.has_room(waiting)
         ]
 
-    def _cannot_meet_deadline(self, waiting: queue.Waiting, now: float) -> bool:
+    def _cannot_meet_deadline(
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> bool:
         """Returns whether a request cannot meet its deadline.
 
         While a lower tier waits, a request is never refused early: it goes
@@ -217,17 +219,17 @@
 
     def _turn_away(
         self,
-        waiting: queue.Waiting,
+        waiting: queue.QueuedRequest,
         now: float,
         reason: message.Reason = message.Reason.OVERLOADED,
-    ) -> owner_effect.ToEntry:
+    ) -> owner_effect.SendToEntry:
         """Sends a request to a zone with room, or gives it up."""
         target = self._remote.pick(waiting)
         if target is None:
             return self._refuse(waiting, reason, now)
         self._queue.remove(waiting)
         self.counters.redirected += 1
-        return owner_effect.ToEntry(
+        return owner_effect.SendToEntry(
             waiting.entry,
             message.Redirect(
                 waiting.request.request_id, target.shard.zone, target.owner
@@ -236,12 +238,12 @@
         )
 
     def _refuse(
-        self, waiting: queue.Waiting, reason: message.Reason, now: float
-    ) -> owner_effect.ToEntry:
+        self, waiting: queue.QueuedRequest, reason: message.Reason, now: float
+    ) -> owner_effect.SendToEntry:
         self._queue.remove(waiting)
         self._count_shed(waiting.request.tier, now)
         if waiting.counted_at is not None:
-            self._limits.give_back(
+            self._limits.refund(
                 waiting.request.customer, _count(waiting), waiting.counted_at
             )
         if not self._fleet.has_usable:
@@ -262,17 +264,20 @@
         return self._make_reject(waiting, reason, min(wait_s, MAX_RETRY_S))
 
     def _make_reject(
-        self, waiting: queue.Waiting, reason: message.Reason, retry_s: float
-    ) -> owner_effect.ToEntry:
-        return owner_effect.ToEntry(
+        self,
+        waiting: queue.QueuedRequest,
+        reason: message.Reason,
+        retry_s: float,
+    ) -> owner_effect.SendToEntry:
+        return owner_effect.SendToEntry(
             waiting.entry,
             message.Reject(waiting.request.request_id, reason, retry_s),
             self._make_basis(),
         )
 
-    def _make_basis(self) -> owner_effect.Basis:
+    def _make_basis(self) -> owner_effect.DecisionInputs:
         open_ones = [b for b in self._fleet.list_all() if not b.is_lost]
-        return owner_effect.Basis(
+        return owner_effect.DecisionInputs(
             len(self._queue),
             sum(len(known.placed) for known in open_ones),
             sum(known.info.max_running for known in open_ones),
@@ -284,13 +289,15 @@
         shed.add(1, now)
 
 
-def _count(waiting: queue.Waiting) -> int:
+def _count(waiting: queue.QueuedRequest) -> int:
     """Returns what a request counts against its customer's limit."""
     counted = waiting.request.limit_tokens
     return waiting.cost if counted is None else counted
 
 
-def _get_expiry_reason(waiting: queue.Waiting, now: float) -> message.Reason:
+def _get_expiry_reason(
+    waiting: queue.QueuedRequest, now: float
+) -> message.Reason:
     """Returns why a request does not wait any longer."""
     if waiting.deadline <= now:
         return message.Reason.DEADLINE
--- a/ramptray/core/summary.py
+++ b/ramptray/core/summary.py
@@ -13,7 +13,7 @@
     Attributes:
         shard: The shard.
         owner: The address of the scheduler that owns it.
-        limit: Cost that may wait, as ``queue.weigh`` counts it.
+        limit: Cost that may wait, as ``queue.compute_cost`` counts it.
         waiting: Cost that waits, by tier, highest tier first.
         has_backend: Whether any backend server is left.
         version: Wall clock value when it was made; the newest counts.
--- a/ramptray/core/pace.py
+++ b/ramptray/core/wait_estimator.py
@@ -8,7 +8,7 @@
 """Span over which grants and refusals are counted, in seconds."""
 
 
-class Pace:
+class WaitEstimator:
     """Measures the rate of grants; a rate limit of all servers goes before it.
 
     Args:
@@ -30,11 +30,11 @@
         self._refused = meter.RateMeter(WINDOW_S)
         self._refused_count = meter.RateMeter(WINDOW_S)
 
-    def count_grant(self, waiting: queue.Waiting, now: float) -> None:
+    def count_grant(self, waiting: queue.QueuedRequest, now: float) -> None:
         """Counts a request that was granted."""
         self._granted.add(waiting.cost, now)
 
-    def count_refusal(self, waiting: queue.Waiting, now: float) -> None:
+    def count_refusal(self, waiting: queue.QueuedRequest, now: float) -> None:
         """Counts a request that was refused."""
         self._refused.add(waiting.cost, now)
         self._refused_count.add(1, now)
@@ -43,14 +43,16 @@
         """Returns the requests a second that this owner may send in all."""
         return self._fleet.get_rate_limit(now, self._limits.server_part)
 
-    def estimate_wait(self, waiting: queue.Waiting, now: float) -> float:
+    def estimate_wait(self, waiting: queue.QueuedRequest, now: float) -> float:
         """Returns the seconds that the requests before one take."""
         if rate_per_s := self.get_rate_limit(now):
             return self._queue.get_count_ahead(waiting) / rate_per_s
         rate = self._granted.get_rate(now)
         return self._queue.get_cost_ahead(waiting) / rate if rate else 0.0
 
-    def estimate_return(self, waiting: queue.Waiting, now: float) -> float:
+    def estimate_return(
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> float:
         """Returns the seconds until a refused request may be served.
 
         Load pattern: many are refused within a few seconds and come back.
--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -138,7 +138,7 @@
         return (
             now < ticket.deadline
             and machine.dispatches < machine.info.max_attempts
-            and self._budget.has_left(machine.info.shard.service, now)
+            and self._budget.has_attempts_left(machine.info.shard.service, now)
         )
 
     def submit(
@@ -206,13 +206,13 @@
                     self._claims.finish(ticket, status)
                 self._perform(ticket, machine.complete(ended), now)
             case tickets.Refused(ended):
-                self._perform(ticket, machine.refuse(ended), now)
+                self._perform(ticket, machine.end_refused(ended), now)
             case tickets.AttemptFailed():
                 self._end_attempt(ticket, event, now)
             case tickets.Lost(ended, reason):
-                self._perform(ticket, machine.lose(reason, ended), now)
+                self._perform(ticket, machine.end_unknown(reason, ended), now)
             case tickets.Abandoned(ended):
-                self._perform(ticket, machine.abandon(ended), now)
+                self._perform(ticket, machine.cancel(ended), now)
 
     def _get_info(
         self, ticket: tickets.Ticket, now: float
@@ -308,7 +308,7 @@
     def _refuse_blocked(
         self, ticket: tickets.Ticket, left_s: float, now: float
     ) -> None:
-        effects = ticket.machine.give_up(message.Reason.BLOCKED, left_s)
+        effects = ticket.machine.reject(message.Reason.BLOCKED, left_s)
         self._perform(ticket, effects, now)
 
     def _assign(self, ticket: tickets.Ticket, now: float) -> None:
@@ -342,7 +342,7 @@
     ) -> None:
         for effect in effects:
             match effect:
-                case request.Tell(owner, sent):
+                case request.SendToOwner(owner, sent):
                     if isinstance(sent, message.Enqueue):
                         ticket.asked_at = now
                         ticket.awaiting_reply = True
@@ -587,7 +587,7 @@
         for ticket in list(self._tickets.values()):
             reason = patience.find_give_up_reason(ticket, now)
             if reason is not None:
-                effects = ticket.machine.give_up(reason, RETRY_AFTER_S)
+                effects = ticket.machine.reject(reason, RETRY_AFTER_S)
                 self._perform(ticket, effects, now)
 
 
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -305,7 +305,7 @@
         if lost is None:
             return
         for owner in self.shards.values():
-            owner.lose_entry(lost, now)
+            owner.detach_entry(lost, now)
 
     def _pass_to_shard(
         self,
@@ -318,7 +318,7 @@
             reject = self.guard.check(body.request, now)
             if reject is not None:
                 self._send_out(
-                    [owner_effect.ToEntry(attached.hello.name, reject)]
+                    [owner_effect.SendToEntry(attached.hello.name, reject)]
                 )
                 return
         owner = self._get_shard(key, now)
@@ -332,7 +332,9 @@
             reject = message.Reject(
                 body.request.request_id, message.Reason.NOT_READY, 1.0
             )
-            self._send_out([owner_effect.ToEntry(attached.hello.name, reject)])
+            self._send_out(
+                [owner_effect.SendToEntry(attached.hello.name, reject)]
+            )
 
     def _confirm(
         self,
@@ -372,7 +374,7 @@
             for owner in self.shards.values():
                 self._send_out(owner.refuse_waiting(each.content, each.left_s))
 
-    def _send_out(self, effects: Iterable[owner_effect.ToEntry]) -> None:
+    def _send_out(self, effects: Iterable[owner_effect.SendToEntry]) -> None:
         for effect in effects:
             self._tell_entry(effect.entry, effect.message)
             self._note(effect)
@@ -384,7 +386,7 @@
     ) -> None:
         self._attached.send(entry, sent, steadyclock.read())
 
-    def _note(self, effect: owner_effect.ToEntry) -> None:
+    def _note(self, effect: owner_effect.SendToEntry) -> None:
         basis = {
             "entry": effect.entry,
             "generation": self.in_force.generation if self.in_force else None,
--- a/ramptray/scheduler/rules.py
+++ b/ramptray/scheduler/rules.py
@@ -20,7 +20,7 @@
         shares={name: c.share for name, c in bundle.customers.items()},
         version=f"{key.service}@{service.version}",
         limits={
-            name: limit.Rate(
+            name: limit.RateLimit(
                 _divide(customer.limits.requests_per_s, parts),
                 _divide(customer.limits.tokens_per_s, parts),
                 _divide(customer.limits.burst, parts),
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -97,7 +97,7 @@
     machine.assign(OWNER, machine.info)
     assert grant(machine, "a")
     assert fail(machine, not_run=False) is None
-    effects = machine.give_up(message.Reason.OVERLOADED, 1.0)
+    effects = machine.reject(message.Reason.OVERLOADED, 1.0)
     finish = effects[-1]
     assert isinstance(finish, request.Finish)
     assert finish.outcome is message.Outcome.UNKNOWN
@@ -203,26 +203,27 @@
 
 
 def test_a_customer_s_large_requests_get_through_like_small_ones() -> None:
-    limits = limit.Limits({"c": limit.Rate(None, 100.0, 100.0)})
-    assert limits.check("c", 90, 0.0) == 0
-    assert limits.check("c", 500, 0.0) == 0
-    assert limits.check("c", 1, 0.0) > 0
-    assert limits.check("c", 1, 5.2) == 0
+    limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 100.0)})
+    assert limits.try_acquire("c", 90, 0.0) == 0
+    assert limits.try_acquire("c", 500, 0.0) == 0
+    assert limits.try_acquire("c", 1, 0.0) > 0
+    assert limits.try_acquire("c", 1, 5.2) == 0
 
 
 def test_a_change_of_limits_does_not_fill_buckets() -> None:
-    limits = limit.Limits({"c": limit.Rate(None, 100.0, 1000.0)})
-    assert limits.check("c", 1000, 0.0) == 0
-    limits.set_rates({"c": limit.Rate(None, 110.0, 1000.0)})
-    assert limits.check("c", 10, 0.0) > 0
+    limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 1000.0)})
+    assert limits.try_acquire("c", 1000, 0.0) == 0
+    limits.set_rates({"c": limit.RateLimit(None, 110.0, 1000.0)})
+    assert limits.try_acquire("c", 10, 0.0) > 0
 
 
 def test_one_side_of_a_cut_hands_out_its_part() -> None:
-    limits = limit.Limits({"c": limit.Rate(None, 100.0, 100.0)})
-    assert limits.check("c", 1, 0.0) == 0
+    limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 100.0)})
+    assert limits.try_acquire("c", 1, 0.0) == 0
     limits.set_part(0.5)
     admitted = sum(
-        limits.check("c", 1, second / 100) == 0 for second in range(1, 1001)
+        limits.try_acquire("c", 1, second / 100) == 0
+        for second in range(1, 1001)
     )
     assert 500 <= admitted <= 600
 
@@ -328,12 +329,12 @@
 
 
 def test_refused_requests_are_told_to_come_back_one_after_the_other() -> None:
-    limits = limit.Limits({"c": limit.Rate(None, 100.0, 100.0)})
-    assert limits.check("c", 100, 0.0) == 0
-    first, second = (limits.check("c", 150, 0.0) for _ in range(2))
+    limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 100.0)})
+    assert limits.try_acquire("c", 100, 0.0) == 0
+    first, second = (limits.try_acquire("c", 150, 0.0) for _ in range(2))
     assert 0 < first < 0.1
     assert second == pytest.approx(first + 1.5)
     # The bucket has earned two seconds' worth since.
-    assert limits.check("c", 100, 2.0) == 0
-    waits = [limits.check("c", 500, 2.0) for _ in range(9)]
+    assert limits.try_acquire("c", 100, 2.0) == 0
+    waits = [limits.try_acquire("c", 500, 2.0) for _ in range(9)]
     assert max(waits) == limit.MAX_WAIT_S
--- a/test/test_conformance.py
+++ b/test/test_conformance.py
@@ -38,11 +38,11 @@
         case "refuse":
             return machine.fail_connect()
         case "give_up":
-            return machine.give_up(message.Reason.DEADLINE, 1.0)
+            return machine.reject(message.Reason.DEADLINE, 1.0)
         case "complete":
             return machine.complete(ENDED)
         case "lose":
-            return machine.lose(message.Reason.BACKEND_LOST, ENDED)
+            return machine.end_unknown(message.Reason.BACKEND_LOST, ENDED)
     return []
 
 
--- a/test/test_limits.py
+++ b/test/test_limits.py
@@ -135,9 +135,9 @@
 
 
 def test_a_bucket_lets_its_rate_through_and_no_more() -> None:
-    limits = limit.Limits({"ola": limit.Rate(requests_per_s=10.0)})
+    limits = limit.Limits({"ola": limit.RateLimit(requests_per_s=10.0)})
     passed = sum(
-        limits.check("ola", 1, step * 0.01) == 0.0 for step in range(1000)
+        limits.try_acquire("ola", 1, step * 0.01) == 0.0 for step in range(1000)
     )
     assert 100 <= passed <= 100 + 10 * limit.BURST_S
 
@@ -161,7 +161,7 @@
             debts[zone] += wanted / 100
             while debts[zone] >= 1:
                 debts[zone] -= 1
-                waited = limits[zone].check("ola", 1, now)
+                waited = limits[zone].try_acquire("ola", 1, now)
                 passed[zone] += waited == 0.0 and now >= seconds / 2
         if step % 50 == 0:
             told = [one.list_uses(now) for one in limits]
@@ -172,7 +172,7 @@
 
 
 def make_limits() -> list[limit.Limits]:
-    rate = limit.Rate(requests_per_s=TOTAL / ZONES)
+    rate = limit.RateLimit(requests_per_s=TOTAL / ZONES)
     return [limit.Limits({"ola": rate}) for _ in range(ZONES)]
 
 
--- a/test/test_rate_limit.py
+++ b/test/test_rate_limit.py
@@ -75,12 +75,14 @@
     )
 
 
-def list_grants(effects: Iterable[owner_effect.ToEntry]) -> list[message.Grant]:
+def list_grants(
+    effects: Iterable[owner_effect.SendToEntry],
+) -> list[message.Grant]:
     return [e.message for e in effects if isinstance(e.message, message.Grant)]
 
 
 def list_rejects(
-    effects: Iterable[owner_effect.ToEntry],
+    effects: Iterable[owner_effect.SendToEntry],
 ) -> list[message.Reject]:
     return [e.message for e in effects if isinstance(e.message, message.Reject)]
 
--- a/test/test_regions.py
+++ b/test/test_regions.py
@@ -44,7 +44,7 @@
     avoid: tuple[str, ...] = (),
     silent: tuple[str, ...] = (),
     customer: str = "ola",
-) -> list[owner_effect.ToEntry]:
+) -> list[owner_effect.SendToEntry]:
     info = message.RequestInfo(
         name,
         KEY,
--- a/test/test_scenario.py
+++ b/test/test_scenario.py
@@ -62,7 +62,7 @@
         """Performs an entry's effects."""
         for effect in effects:
             match effect:
-                case request.Tell(owner, told) if owner in self.owners:
+                case request.SendToOwner(owner, told) if owner in self.owners:
                     self.take(
                         owner,
                         self.owners[owner].receive("entry", told, self.now),
@@ -79,7 +79,7 @@
         self.ran.append(name)
         self.running.append(name)
 
-    def take(self, owner: str, out: list[owner_effect.ToEntry]) -> None:
+    def take(self, owner: str, out: list[owner_effect.SendToEntry]) -> None:
         """Hands an owner's messages to the entry."""
         for effect in out:
             told = effect.message
@@ -158,7 +158,7 @@
 @when("the entry dies")
 def _(world: World) -> None:
     world.entry_alive = False
-    world.owners["A"].lose_entry("entry", world.now)
+    world.owners["A"].detach_entry("entry", world.now)
 
 
 @when(parsers.parse("{seconds:d} seconds pass"))
@@ -390,7 +390,7 @@
 
 @when("its deadline passes")
 def _(keys: KeyWorld) -> None:
-    gave_up = keys.machines[0].give_up(message.Reason.LOG_UNAVAILABLE, 1.0)
+    gave_up = keys.machines[0].reject(message.Reason.LOG_UNAVAILABLE, 1.0)
     keys.perform(0, gave_up)
 
 
--- a/test/test_shard.py
+++ b/test/test_shard.py
@@ -76,7 +76,9 @@
         before = self.owner.list_waiting()
         self.take(self.owner.receive("entry", sent, self.now), before)
 
-    def take(self, out: list[owner_effect.ToEntry], before: list[int]) -> None:
+    def take(
+        self, out: list[owner_effect.SendToEntry], before: list[int]
+    ) -> None:
         """Judges the owner's messages."""
         for effect in out:
             told = effect.message
@@ -165,7 +167,7 @@
             if int(name[1:]) in lost:
                 del self.granted[name]
                 self.waiting.add(name)
-        self.owner.lose_entry("entry", self.now)
+        self.owner.detach_entry("entry", self.now)
         self.owner.begin_sync("entry")
         for name, grant in self.granted.items():
             info = self.infos[name]
@@ -237,7 +239,7 @@
             placed = owner.fleet.backends["e0"].placed[
                 effect.message.request_id
             ]
-            used[placed.request.customer] += queue.weigh(placed.request)
+            used[placed.request.customer] += queue.compute_cost(placed.request)
     assert 0.5 < used["ola"] / used["hydraulik"] < 2.0
 
 
@@ -245,7 +247,7 @@
     owner = make_owner(count=1)
     owner.receive("dead", message.Enqueue(make_info("r")), 1.0)
     assert len(owner.fleet.backends["e0"].placed) == 1
-    owner.lose_entry("dead", 2.0)
+    owner.detach_entry("dead", 2.0)
     owner.tick(2.0 + fleet.ORPHAN_S - 1)
     assert len(owner.fleet.backends["e0"].placed) == 1
     owner.tick(2.0 + fleet.ORPHAN_S + 1)
@@ -275,7 +277,7 @@
     owner = make_owner(count=1)
     enqueue = message.Enqueue(make_info("r"))
     assert owner.receive("entry", enqueue, 1.0)
-    owner.lose_entry("entry", 1.1)
+    owner.detach_entry("entry", 1.1)
     owner.begin_sync("entry")
     again = owner.receive("entry", enqueue, 1.2)
     owner.receive("entry", message.SyncDone("entry"), 1.2)
@@ -293,7 +295,7 @@
     out = [
         effect
         for tell in told
-        if isinstance(tell, request.Tell) and tell.owner == "B"
+        if isinstance(tell, request.SendToOwner) and tell.owner == "B"
         for effect in successor.receive("entry", tell.message, 1.0)
     ]
     granted = out[-1].message
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -86,7 +86,7 @@
 
 def decline(
     owner: shard.ShardOwner, granted: message.Grant, now: float, *silent: str
-) -> list[owner_effect.ToEntry]:
+) -> list[owner_effect.SendToEntry]:
     """Tells an owner that its grant led to a silent backend server."""
     told = message.Decline(
         granted.request_id, granted.grant_id, False, (), silent
--- a/test/test_suspicion.py
+++ b/test/test_suspicion.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ramptray.core import backend, blocklist, message, separation, suspicion
+from ramptray.core import anti_affinity, backend, blocklist, message, suspicion
 from test import crashes
 
 NUMBERS = itertools.count(1)
@@ -223,7 +223,7 @@
     suspects = {"p", "a"}
 
     def choose(content: str) -> list[str]:
-        fit = separation.keep_apart(
+        fit = anti_affinity.separate_suspects(
             servers, make_info("2", content), suspects.__contains__
         )
         return [server.info.name for server in fit]
--- a/test/test_totals.py
+++ b/test/test_totals.py
@@ -11,7 +11,7 @@
 
 SPAN_S = 8.0
 TOTAL = 400_000.0
-RATE = limit.Rate(tokens_per_s=20_000.0, span_s=SPAN_S, span_total=TOTAL)
+RATE = limit.RateLimit(tokens_per_s=20_000.0, span_s=SPAN_S, span_total=TOTAL)
 LARGE = 20_000
 """The largest request that is sent here, in tokens."""
 
@@ -37,7 +37,7 @@
     while now < end:
         size = int(min(LARGE, rng.lognormvariate(7.5, 1.2)))
         now += rng.expovariate(per_s / 3500)
-        if limits.check("ola", size, now) == 0.0:
+        if limits.try_acquire("ola", size, now) == 0.0:
             taken.append((now, size))
     return taken
 
@@ -125,24 +125,26 @@
 
 def test_advice_on_when_to_come_back_does_not_add_up() -> None:
     limits = make_limits()
-    waits = [limits.check("ola", 5000, 1.0 + n / 1000) for n in range(1000)]
+    waits = [
+        limits.try_acquire("ola", 5000, 1.0 + n / 1000) for n in range(1000)
+    ]
     assert max(waits) <= limit.MAX_WAIT_S
     assert min(wait for wait in waits if wait) > 0
 
 
 def test_what_does_not_run_is_given_back() -> None:
     limits = make_limits()
-    limits.check("ola", 1, 0.0)
+    limits.try_acquire("ola", 1, 0.0)
     now = 9.0
-    while limits.check("ola", 5000, now) == 0.0:
+    while limits.try_acquire("ola", 5000, now) == 0.0:
         pass
-    limits.give_back("ola", 5000, now)
-    assert limits.check("ola", 5000, now) == 0.0
+    limits.refund("ola", 5000, now)
+    assert limits.try_acquire("ola", 5000, now) == 0.0
 
 
 def test_an_owner_gives_back_what_it_refuses() -> None:
     key = message.ShardKey("all", "lm")
-    rate = limit.Rate(tokens_per_s=1000.0, burst=1000.0)
+    rate = limit.RateLimit(tokens_per_s=1000.0, burst=1000.0)
     owner = shard.ShardOwner(
         key,
         "127.0.0.1:1",
--- a/test/test_waiting.py
+++ b/test/test_waiting.py
@@ -55,7 +55,7 @@
     return list_granted(owner.receive("entry", message.Enqueue(info), now))
 
 
-def list_granted(out: list[owner_effect.ToEntry]) -> list[str]:
+def list_granted(out: list[owner_effect.SendToEntry]) -> list[str]:
     return [
         effect.message.backend
         for effect in out
@@ -211,7 +211,7 @@
     # highest tier was refused.
     owner = make_owner(fast=FAST)
     owner.receive("lost", message.Enqueue(SHORT), 1.0)
-    owner.lose_entry("lost", 1.5)
+    owner.detach_entry("lost", 1.5)
     again = msgspec.structs.replace(SHORT, request_id="again")
     assert send(owner, again, 1.6) == ["fast"]
 
--- a/test/test_warm_up.py
+++ b/test/test_warm_up.py
@@ -117,7 +117,7 @@
 
 def test_a_small_part_is_one_request_in_several_windows() -> None:
     paced = pacer.Pacer()
-    paced.note(0.0)
+    paced.record_send(0.0)
     assert paced.get_wait(2.4, 2.0 * 0.2) > 0.0
     assert paced.get_wait(2.6, 2.0 * 0.2) == 0.0
     assert paced.get_wait(2.6, 2.0 * 0.0) > 0.0
