--- a/ramptray/node/main.py
+++ b/ramptray/node/main.py
@@ -31,7 +31,14 @@
 from ramptray.relay import server as relay_server
 from ramptray.relay import service
 from ramptray.relay import stream as streams
-from ramptray.scheduler import event, gossip, hub, keeper, rollouts, servant
+from ramptray.scheduler import (
+    block_sync,
+    event,
+    gossip,
+    handler,
+    hub,
+    rollouts,
+)
 
 LOG = logging.getLogger(__name__)
 
@@ -97,12 +104,12 @@
             self._take_bundle,
         )
         self._blocks = blocklist.Blocklist()
-        self._keeper = keeper.BlockKeeper(
+        self._block_sync = block_sync.BlockSync(
             platform_blocks.TopicBlockLog(self._store),
             self._blocks,
             loads=not given.first_start,
         )
-        self._store.on_older_copy(self._keeper.save_again)
+        self._store.on_older_copy(self._block_sync.save_all)
         self._gossiper = self._make_gossiper()
         self._follower.pick_peer = self._gossiper.pick_peer
         self._hub = hub.Hub(
@@ -114,17 +121,17 @@
             self._equipment.timeline,
             self._blocks,
         )
-        self._hub.guard.on_crash = self._keeper.read_soon
+        self._hub.guard.on_crash = self._block_sync.request_reload
         self._verdict_keeper = rollouts.VerdictKeeper(
             platform_rollout.TopicVerdictLog(self._store),
             self._hub.rollouts.verdicts,
         )
         self._hub.rollouts.on_verdict = self._verdict_keeper.keep
         self._gossiper.verdicts = self._hub.rollouts.verdicts
-        self._servant = servant.SchedulerServant(
+        self._handler = handler.SchedulerHandler(
             self._hub, self._gossiper, self._follower, self._equipment.timeline
         )
-        self._equipment.client.serve_locally(given.peers, self._servant)
+        self._equipment.client.serve_locally(given.peers, self._handler)
         self._desk = dispatcher.Dispatcher(
             node_settings.Home(given.vm, config.DOMAIN, given.peers),
             self._equipment,
@@ -143,7 +150,7 @@
     async def run(self, stop: process.Stop) -> None:
         """Serves until a stop is asked for and what runs has ended."""
         peers = peer_server.PeerServer(
-            self._servant, self._equipment.clock, None
+            self._handler, self._equipment.clock, None
         )
         try:
             await peers.start(self._given.peers)
@@ -157,7 +164,7 @@
                 self._follower.run,
                 self._relay_client.run,
                 self._prober.run,
-                self._keeper.run,
+                self._block_sync.run,
                 self._verdict_keeper.run,
                 suspension.SuspensionWatch(self._return_from_suspension).run,
                 self._watch_reload,
@@ -165,7 +172,7 @@
                 tasks.start_soon(task)
 
             def check(address: str) -> None:
-                tasks.start_soon(self._gossiper.check, address)
+                tasks.start_soon(self._gossiper.probe_now, address)
 
             self._desk.on_doubt = check
             self._desk.network.on_silent_zone = self._relay_client.distrust
@@ -283,7 +290,7 @@
         Connections were likely given up at their other ends.
         """
         self._relay_client.distrust_all()
-        self._follower.look()
+        self._follower.wake()
 
     async def _watch_reload(self) -> None:
         with anyio.open_signal_receiver(signal.SIGHUP) as signals:
--- a/ramptray/platform/follower.py
+++ b/ramptray/platform/follower.py
@@ -24,7 +24,7 @@
     store,
     topic,
 )
-from ramptray.scheduler import feed, source
+from ramptray.scheduler import distributor, source
 
 LOG = logging.getLogger(__name__)
 
@@ -103,15 +103,18 @@
         )
         self._readers = (self._config, self._replicas)
         self._hurry = anyio.Event()
-        self._feed = feed.Feed(
+        self._distributor = distributor.StreamDistributor(
             me,
             seeds,
             first_start,
             client,
-            [feed.Stream(each, each.mirror) for each in self._readers],
+            [
+                distributor.FollowedStream(each, each.mirror)
+                for each in self._readers
+            ],
         )
-        self._feed.get_trouble = self._book.get_trouble
-        self._feed.on_trouble = self._take_trouble
+        self._distributor.get_outage = self._book.get_outage
+        self._distributor.on_outage = self._record_outage
         reader.on_older_copy(self._note_older_copy)
 
     async def run(self) -> None:
@@ -120,7 +123,7 @@
             for reader in self._readers:
                 tasks.start_soon(reader.run)
             tasks.start_soon(self._tick)
-            tasks.start_soon(self._feed.run)
+            tasks.start_soon(self._distributor.run)
             tasks.start_soon(self._ask_peers)
 
     @property
@@ -138,40 +141,40 @@
         answers = [r.answered_at for r in self._readers if r.answered_at]
         return round(now - max(answers), 1) if answers else None
 
-    def list_ends(self) -> dict[str, int]:
+    def list_stream_ends(self) -> dict[str, int]:
         """See the base class."""
         return {reader.stream: reader.known_end for reader in self._readers}
 
-    def take_ends(self, ends: Mapping[str, int]) -> None:
+    def update_stream_ends(self, ends: Mapping[str, int]) -> None:
         """See the base class."""
         for reader in self._readers:
             reader.note_told(ends.get(reader.stream, 0))
             reader.check_underway()
         if self._is_unsettled():
             self._hurry.set()
-            self._feed.look()
+            self._distributor.wake()
 
     def set_watching(self, watching: bool) -> None:
         """See the base class."""
         for reader in self._readers:
             reader.set_watching(watching)
 
-    def take_members(
+    def update_members(
         self, me: membership.Member, alive: Iterable[membership.Member]
     ) -> None:
         """See the base class."""
-        self._feed.take_members(alive)
+        self._distributor.update_members(alive)
 
-    def look(self) -> None:
+    def wake(self) -> None:
         """Has this VM look at once at what it follows and what it knows."""
         self._hurry.set()
-        self._feed.look()
+        self._distributor.wake()
 
-    async def tell_streams(
+    async def serve_streams(
         self, asked: peer_message.FollowStreams
     ) -> peer_message.ToldStreams:
         """See the base class."""
-        return await self._feed.answer(asked)
+        return await self._distributor.serve_updates(asked)
 
     async def fetch(self, address: str, generation: int) -> None:
         """See the base class.
@@ -179,19 +182,19 @@
         The VMs that this one follows send the change as a difference.
         """
 
-    async def ask(self, address: str) -> None:
+    async def fetch_newer(self, address: str) -> None:
         """See the base class."""
-        await self._feed.ask(address)
+        await self._distributor.fetch_updates(address)
 
-    def _take_trouble(self, trouble: feed.Trouble) -> None:
-        self._book.take_trouble(trouble, steadyclock.read())
+    def _record_outage(self, outage: distributor.LogOutage) -> None:
+        self._book.record_outage(outage, steadyclock.read())
 
-    def set_on_news(self, on_news: Callable[[], None]) -> None:
+    def set_on_stream_advance(self, on_news: Callable[[], None]) -> None:
         """See the base class."""
         for reader in self._readers:
             reader.on_news = on_news
 
-    def take_from_peer(
+    def accept_from_peer(
         self, address: str, fetched: peer_message.FetchedBundle
     ) -> None:
         """See the base class."""
@@ -218,7 +221,7 @@
             await anyio.sleep(ASK_PEERS_EVERY_S)
             peer = None if self.log_up else self.pick_peer()
             if peer is not None:
-                await self.ask(peer)
+                await self.fetch_newer(peer)
 
     # What was read.
 
--- a/ramptray/platform/replicas.py
+++ b/ramptray/platform/replicas.py
@@ -15,7 +15,7 @@
 
 from ramptray.peer import message as peer_message
 from ramptray.platform import record, store
-from ramptray.scheduler import feed
+from ramptray.scheduler import distributor
 
 LOG = logging.getLogger(__name__)
 
@@ -81,13 +81,13 @@
         self._trouble_at = now
         self._returned_at = now
 
-    def get_trouble(self, now: float) -> feed.Trouble:
+    def get_outage(self, now: float) -> distributor.LogOutage:
         """Returns how the store has failed whoever reads it."""
-        return feed.Trouble(
+        return distributor.LogOutage(
             _get_age(self._trouble_at, now), _get_age(self._returned_at, now)
         )
 
-    def take_trouble(self, told: feed.Trouble, now: float) -> None:
+    def record_outage(self, told: distributor.LogOutage, now: float) -> None:
         """Takes how the store has failed the VM that read it for this one."""
         if told.ago_s is not None:
             self._trouble_at = max(self._trouble_at, now - told.ago_s)
--- a/ramptray/scheduler/keeper.py
+++ b/ramptray/scheduler/block_sync.py
@@ -32,7 +32,7 @@
 """Blocks that may wait to be kept; more at once are no single requests."""
 
 
-class BlockKeeper:
+class BlockSync:
     """Saves what this VM decides, and loads what was decided before its start.
 
     What other VMs tell is saved by them.
@@ -66,7 +66,7 @@
     async def run(self) -> None:
         """Loads, then saves and reads again until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._save_all)
+            tasks.start_soon(self._run_saves)
             if self._loads:
                 await self._load()
             while True:
@@ -75,18 +75,18 @@
                 await self._load(1)
                 await anyio.sleep(READ_EVERY_S)
 
-    def read_soon(self) -> None:
+    def request_reload(self) -> None:
         """Has the log read, since a backend server has ended.
 
         Beyond a cut, or before a restart, somebody may have found out why.
         """
         self._wanted.set()
 
-    async def _save_all(self) -> None:
+    async def _run_saves(self) -> None:
         async for news in self._receive:
             await self._save(news)
 
-    def save_again(self) -> None:
+    def save_all(self) -> None:
         """Saves all blocks, as the log may have lost some."""
         self._note(self._blocks.list_news(steadyclock.read()))
 
--- a/ramptray/scheduler/feed.py
+++ b/ramptray/scheduler/distributor.py
@@ -86,7 +86,7 @@
 Reader = log_reader.StreamReader[keyedstream.Changes]
 
 
-class Trouble(msgspec.Struct, frozen=True):
+class LogOutage(msgspec.Struct, frozen=True):
     """How the log has failed whoever reads it.
 
     Attributes:
@@ -98,7 +98,7 @@
     returned_s: float | None = None
 
 
-class Stream(msgspec.Struct, frozen=True):
+class FollowedStream(msgspec.Struct, frozen=True):
     """A stream that is followed.
 
     Attributes:
@@ -110,7 +110,7 @@
     mirror: mirrors.Mirror
 
 
-class Feed:
+class StreamDistributor:
     """Follows other VMs, and tells those that follow this one.
 
     Args:
@@ -121,8 +121,8 @@
         streams: What is followed.
 
     Attributes:
-        get_trouble: Returns how the log has failed, as of a moment.
-        on_trouble: Called with how it has failed other VMs.
+        get_outage: Returns how the log has failed, as of a moment.
+        on_outage: Called with how it has failed other VMs.
     """
 
     def __init__(
@@ -131,10 +131,10 @@
         seeds: Iterable[str],
         first_start: bool,
         client: peer_link.PeerClient,
-        streams: Sequence[Stream],
+        streams: Sequence[FollowedStream],
     ) -> None:
-        self.get_trouble: Callable[[float], Trouble] = _know_no_trouble
-        self.on_trouble: Callable[[Trouble], None] = _ignore_trouble
+        self.get_outage: Callable[[float], LogOutage] = _report_no_outage
+        self.on_outage: Callable[[LogOutage], None] = _ignore_outage
         self._me = me
         self._client = client
         self._streams = {each.reader.stream: each for each in streams}
@@ -163,7 +163,7 @@
                 self._choose_watching(now)
                 await self._pause(self._get_next_due() - now)
 
-    def look(self) -> None:
+    def wake(self) -> None:
         """Has this VM look at once at what it follows and whether it reads."""
         self._looked.set()
         self._looked = anyio.Event()
@@ -180,7 +180,7 @@
         with anyio.move_on_after(min(due_s, IDLE_CHECK_S) - CHECK_S):
             await looked.wait()
 
-    def take_members(self, members: Iterable[membership.Member]) -> None:
+    def update_members(self, members: Iterable[membership.Member]) -> None:
         """Takes the VMs that are alive."""
         others = [m for m in members if m.vm != self._me.vm]
         # Alone, it may just not have met the others yet.
@@ -188,7 +188,7 @@
         if place == self._place:
             return
         self._place = place
-        self.look()
+        self.wake()
         LOG.info(
             "place in the distribution",
             extra=msgspec.to_builtins(place) if place else {"alone": True},
@@ -196,7 +196,7 @@
 
     # Telling others.
 
-    async def answer(
+    async def serve_updates(
         self, asked: peer_message.FollowStreams
     ) -> peer_message.ToldStreams:
         """Returns what another VM lacks, as soon as there is anything."""
@@ -205,7 +205,7 @@
             while not self._has_news(asked, known_at):
                 await self._changed.wait()
         now = steadyclock.read()
-        trouble = self.get_trouble(now)
+        outage = self.get_outage(now)
         told = []
         for name, each in self._streams.items():
             if each.reader.end is None:
@@ -214,8 +214,8 @@
             news = msgspec.structs.replace(
                 news,
                 age_s=now - each.reader.fresh_at,
-                trouble_s=trouble.ago_s,
-                returned_s=trouble.returned_s,
+                trouble_s=outage.ago_s,
+                returned_s=outage.returned_s,
             )
             told.append(news)
         return peer_message.ToldStreams(told)
@@ -270,7 +270,7 @@
             due_s = self._get_overdue_in()
             if address != self._first and due_s > 0:
                 await self._pause(due_s)
-            elif not await self.ask(address, WAIT_S):
+            elif not await self.fetch_updates(address, WAIT_S):
                 await anyio.sleep(PAUSE_S)
         self._followed.discard(address)
 
@@ -288,7 +288,7 @@
         """Returns for how long records have been missing here, in seconds."""
         return max(e.reader.get_lack_s(now) for e in self._streams.values())
 
-    async def ask(self, address: str, wait_s: float = 0.0) -> bool:
+    async def fetch_updates(self, address: str, wait_s: float = 0.0) -> bool:
         """Asks a VM for news.
 
         Args:
@@ -335,7 +335,7 @@
             self._note_damage(address, news.stream, str(error))
             return False
         self._damaged.discard(news.stream)
-        self.on_trouble(Trouble(news.trouble_s, news.returned_s))
+        self.on_outage(LogOutage(news.trouble_s, news.returned_s))
         fresh_at = received_at - max(0.0, news.age_s)
         await each.reader.take_told(changes, news.whole, fresh_at, address)
         is_new = fresh_at > self._told_at[news.stream]
@@ -385,10 +385,10 @@
         return max(told_at, self._patient_until) + STALE_S + turn_s
 
 
-def _know_no_trouble(now: float) -> Trouble:
+def _report_no_outage(now: float) -> LogOutage:
     """Stands in until somebody knows."""
-    return Trouble()
+    return LogOutage()
 
 
-def _ignore_trouble(trouble: Trouble) -> None:
+def _ignore_outage(outage: LogOutage) -> None:
     """Stands in until somebody listens."""
--- a/ramptray/scheduler/follower.py
+++ b/ramptray/scheduler/follower.py
@@ -120,11 +120,11 @@
         answered_at = self._reader.answered_at
         return None if answered_at is None else round(now - answered_at, 1)
 
-    def list_ends(self) -> dict[str, int]:
+    def list_stream_ends(self) -> dict[str, int]:
         """See the base class."""
         return {self._reader.stream: self._reader.known_end}
 
-    def take_ends(self, ends: Mapping[str, int]) -> None:
+    def update_stream_ends(self, ends: Mapping[str, int]) -> None:
         """See the base class."""
         self._reader.note_told(ends.get(self._reader.stream, 0))
         self._reader.check_underway()
@@ -133,7 +133,7 @@
         """See the base class."""
         self._reader.set_watching(watching)
 
-    def set_on_news(self, on_news: Callable[[], None]) -> None:
+    def set_on_stream_advance(self, on_news: Callable[[], None]) -> None:
         """See the base class."""
         self._reader.on_news = on_news
 
@@ -148,7 +148,7 @@
             await anyio.sleep(TICK_S)
             self._reader.check_underway()
 
-    def take_from_peer(
+    def accept_from_peer(
         self, address: str, told: peer_message.FetchedBundle
     ) -> None:
         """See the base class."""
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -118,7 +118,7 @@
         self._follow = follow
         self._news = anyio.Event()
         if follow:
-            follow.set_on_news(lambda: self._news.set())
+            follow.set_on_stream_advance(lambda: self._news.set())
         self._version = 0
         self._lowest = 0
         self._contacts = contact_book.Contacts(me.zone)
@@ -196,7 +196,7 @@
         page = self.membership.list_page(gossip.wanted_after)
         return msgspec.structs.replace(answer, page=page)
 
-    def get_part(self, stands_in: bool = False) -> float:
+    def get_limit_share(self, stands_in: bool = False) -> float:
         """Returns the part of customers' limits that may be handed out here.
 
         Schedulers that were lost may be handing out theirs on the other side
@@ -240,7 +240,7 @@
         ] or self._seeds
         return self._rng.choice(addresses) if addresses else None
 
-    async def check(self, address: str) -> None:
+    async def probe_now(self, address: str) -> None:
         """Probes a member at once that has been silent to somebody."""
         member = next(
             (m for m in self.membership.list_alive() if m.address == address),
@@ -365,7 +365,7 @@
     def _merge(self, gossip: peer_message.Gossip, now: float) -> None:
         self.membership.merge([gossip.sender, *gossip.updates], now)
         if self._follow and gossip.ends:
-            self._follow.take_ends(gossip.ends)
+            self._follow.update_stream_ends(gossip.ends)
         for contact in [gossip.sender, *gossip.contacts]:
             self._contacts.note(contact)
         self.summaries.merge(gossip.summaries, now)
@@ -380,7 +380,7 @@
             # They are for schedulers of other zones.
             self.summaries.pick(steadyclock.read()) if contacts else [],
             self._rng.sample(contacts, told),
-            self._follow.list_ends() if self._follow else {},
+            self._follow.list_stream_ends() if self._follow else {},
             self.membership.digest,
             verdicts=self.verdicts.list_final(),
         )
@@ -417,4 +417,4 @@
         ]
         self._on_view(peer_message.View(alive, others))
         if self._follow:
-            self._follow.take_members(self._me, alive)
+            self._follow.update_members(self._me, alive)
--- a/ramptray/scheduler/servant.py
+++ b/ramptray/scheduler/handler.py
@@ -18,7 +18,7 @@
 """Processes of one VM that may answer."""
 
 
-class SchedulerServant(peer_link.Servant):
+class SchedulerHandler(peer_link.Servant):
     """Passes attached processes to the hub and answers questions."""
 
     def __init__(
@@ -58,9 +58,9 @@
                     )
                 return answer
             case peer_message.FetchBundle():
-                return self._follower.answer(question)
+                return self._follower.serve_bundle(question)
             case peer_message.FollowStreams():
-                return await self._follower.tell_streams(question)
+                return await self._follower.serve_streams(question)
             case peer_message.AskStatus():
                 return peer_message.Status(
                     status.make_report(
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -489,7 +489,7 @@
         if self._limits is not None:
             key = message.ShardKey(self._zone, "")
             stands_in = not self.owns(key)
-            part = self._gossiper.get_part(stands_in)
+            part = self._gossiper.get_limit_share(stands_in)
             self._limits.set_part(part, stands_in)
 
     def _open_own_shards(self, now: float) -> None:
--- a/ramptray/scheduler/main.py
+++ b/ramptray/scheduler/main.py
@@ -20,9 +20,9 @@
     event,
     follower,
     gossip,
+    handler,
     hub,
     poller,
-    servant,
 )
 from ramptray.settings import SchedulerSettings
 
@@ -77,7 +77,7 @@
         settings.report_every_s,
     )
     server = peer_server.PeerServer(
-        servant.SchedulerServant(owner, gossiper, follow, events),
+        handler.SchedulerHandler(owner, gossiper, follow, events),
         equipment.clock,
         settings.tls,
     )
--- a/ramptray/scheduler/source.py
+++ b/ramptray/scheduler/source.py
@@ -49,24 +49,24 @@
         """Returns the seconds since it last answered, None for never."""
 
     @abc.abstractmethod
-    def take_from_peer(
+    def accept_from_peer(
         self, address: str, told: peer_message.FetchedBundle
     ) -> None:
         """Takes the bundle that a peer has handed over."""
 
     @abc.abstractmethod
-    def list_ends(self) -> dict[str, int]:
+    def list_stream_ends(self) -> dict[str, int]:
         """Returns how far each stream that is followed is known to reach."""
 
     @abc.abstractmethod
-    def take_ends(self, ends: Mapping[str, int]) -> None:
+    def update_stream_ends(self, ends: Mapping[str, int]) -> None:
         """Takes how far streams reach as a peer knows."""
 
     @abc.abstractmethod
     def set_watching(self, watching: bool) -> None:
         """Sets whether this VM watches the streams for the others."""
 
-    def take_members(
+    def update_members(
         self, me: membership.Member, alive: Iterable[membership.Member]
     ) -> None:
         """Takes the VMs that are alive; some watch the streams for all."""
@@ -74,23 +74,23 @@
         watchers = membership.pick_owners(WATCH_KEY, vms, WATCHERS)
         self.set_watching(me.vm in watchers)
 
-    async def tell_streams(
+    async def serve_streams(
         self, asked: peer_message.FollowStreams
     ) -> peer_message.ToldStreams:
         """Returns what a peer lacks of the streams, if they are passed on."""
         return peer_message.ToldStreams([])
 
     @abc.abstractmethod
-    def set_on_news(self, on_news: Callable[[], None]) -> None:
+    def set_on_stream_advance(self, on_news: Callable[[], None]) -> None:
         """Sets what is called when peers may not know how far streams reach."""
 
     async def fetch(self, address: str, generation: int) -> None:
         """Takes a newer bundle from a peer."""
         current = self.in_force.generation if self.in_force else 0
         if generation > current:
-            await self.ask(address)
+            await self.fetch_newer(address)
 
-    async def ask(self, address: str) -> None:
+    async def fetch_newer(self, address: str) -> None:
         """Takes what a peer has that is newer."""
         current = self.in_force.generation if self.in_force else 0
         try:
@@ -100,9 +100,9 @@
         except peer_link.LinkError as error:
             LOG.info("bundle from a peer: %s", error)
             return
-        self.take_from_peer(address, answer)
+        self.accept_from_peer(address, answer)
 
-    def answer(
+    def serve_bundle(
         self, question: peer_message.FetchBundle
     ) -> peer_message.FetchedBundle:
         """Returns the bundle in force if it is newer than the peer's."""
--- a/test/test_keeper.py
+++ b/test/test_block_sync.py
@@ -11,7 +11,7 @@
 from ramptray import steadyclock
 from ramptray.core import blocklist
 from ramptray.log import blocklog, error
-from ramptray.scheduler import keeper
+from ramptray.scheduler import block_sync
 
 pytestmark = pytest.mark.anyio
 
@@ -51,7 +51,7 @@
 
     def __init__(self, log: Log, loads: bool = False) -> None:
         self.blocks = blocklist.Blocklist()
-        self.keeper = keeper.BlockKeeper(log, self.blocks, loads)
+        self.sync = block_sync.BlockSync(log, self.blocks, loads)
 
     def knows(self, content: str) -> bool:
         return self.blocks.get_left(content, steadyclock.read()) > 0
@@ -61,7 +61,7 @@
 async def run(*vms: Vm) -> AsyncIterator[None]:
     async with anyio.create_task_group() as tasks:
         for vm in vms:
-            tasks.start_soon(vm.keeper.run)
+            tasks.start_soon(vm.sync.run)
         yield
         tasks.cancel_scope.cancel()
 
@@ -81,7 +81,7 @@
         here.blocks.block("p", 3, steadyclock.read())
         await wait_for(lambda: "p" in log.kept)
         assert not beyond.knows("p")
-        beyond.keeper.read_soon()
+        beyond.sync.request_reload()
         await wait_for(lambda: beyond.knows("p"))
 
 
@@ -90,7 +90,7 @@
     vm = Vm(log)
     async with run(vm):
         for _ in range(50):
-            vm.keeper.read_soon()
+            vm.sync.request_reload()
             await anyio.sleep(0.01)
     assert log.reads <= 2
 
--- a/test/test_feed.py
+++ b/test/test_distributor.py
@@ -15,7 +15,7 @@
 from ramptray.node import main
 from ramptray.peer import link
 from ramptray.peer import message as peer_message
-from ramptray.scheduler import feed
+from ramptray.scheduler import distributor
 
 pytestmark = pytest.mark.anyio
 STREAM = "s"
@@ -87,19 +87,19 @@
 
 
 class Vm:
-    """One VM: its reader and its feed."""
+    """One VM: its reader and its distributor."""
 
     def __init__(self, name: str, deployment: Deployment) -> None:
         self.member = membership.Member(
             name, "all", f"{name}:1", 1, availability_zone=name[0]
         )
         self.reader = Reader(name, deployment.log)
-        self.feed = feed.Feed(
+        self.distributor = distributor.StreamDistributor(
             self.member,
             [],
             False,
             Peers(deployment),
-            [feed.Stream(self.reader, self.reader.mirror)],
+            [distributor.FollowedStream(self.reader, self.reader.mirror)],
         )
 
     def knows(self, count: int) -> bool:
@@ -121,7 +121,7 @@
         self.vms = {name: Vm(name, self) for name in names}
         members = [vm.member for vm in self.vms.values()]
         for vm in self.vms.values():
-            vm.feed.take_members(members)
+            vm.distributor.update_members(members)
 
     def list_readers(self) -> list[str]:
         return [n for n, vm in self.vms.items() if vm.reader.watching]
@@ -149,7 +149,9 @@
     async def ask(self, address: str, question: Any, timeout_s: float) -> Any:
         name = address.partition(":")[0]
         with anyio.move_on_after(timeout_s):
-            told = await self._deployment.vms[name].feed.answer(question)
+            told = await self._deployment.vms[name].distributor.serve_updates(
+                question
+            )
             if name in self._deployment.frozen:
                 await anyio.sleep_forever()
             if name in self._deployment.lying:
@@ -175,7 +177,7 @@
     async with anyio.create_task_group() as tasks:
         for vm in deployment.vms.values():
             tasks.start_soon(vm.reader.run)
-            tasks.start_soon(vm.feed.run)
+            tasks.start_soon(vm.distributor.run)
         await deployment.wait_known(1, 3.0)
         await anyio.sleep(2 * reader.WATCH_WAIT_S)
         yield deployment
@@ -207,7 +209,7 @@
         deployment.frozen.update(deployment.list_readers())
         deployment.log.refused.update(deployment.frozen)
         deployment.log.calls.clear()
-        await anyio.sleep(feed.STALE_S + 0.3)
+        await anyio.sleep(distributor.STALE_S + 0.3)
         called = set(deployment.log.calls) - deployment.frozen
         assert 1 <= len(called) <= 12
 
@@ -229,7 +231,7 @@
 async def test_what_a_vm_was_told_outlives_the_log() -> None:
     async with run(6) as deployment:
         deployment.log.refused.update(deployment.vms)
-        await anyio.sleep(feed.STALE_S + 1.0)
+        await anyio.sleep(distributor.STALE_S + 1.0)
         assert all(vm.reader.end == 1 for vm in deployment.vms.values())
         deployment.log.refused.clear()
         deployment.log.write("a", b"2")
@@ -245,11 +247,11 @@
     async with run(3) as deployment:
         (follower,) = set(deployment.vms) - set(deployment.list_readers())
         vm = deployment.vms[follower]
-        deployment.frozen = {vm.feed._first.partition(":")[0]}
+        deployment.frozen = {vm.distributor._first.partition(":")[0]}
         deployment.log.calls.clear()
         deployment.log.write("a", b"2")
         vm.reader.note_told(2)
-        vm.feed.look()
+        vm.distributor.wake()
         with anyio.fail_after(TAKE_OVER_S):
             while not vm.knows(2):
                 await anyio.sleep(0.01)
@@ -259,19 +261,19 @@
 async def test_a_vm_that_learns_last_still_drops_a_replica_in_time() -> None:
     # VMs kept a replica without a record for 1.6 s, and read for themselves
     # after 0.8 s: a request reached it 2.156 s after its record had gone.
-    assert feed.BEHIND_S + main.HOLD_S <= TAKE_OVER_S
+    assert distributor.BEHIND_S + main.HOLD_S <= TAKE_OVER_S
 
 
 async def test_a_reason_to_look_is_not_lost_while_a_vm_pauses() -> None:
     # The test above failed once in a run of all: a VM that had looked less than
     # 0.1 s before missed the next reason, and looked again a second later.
-    paused = Deployment(["a1"]).vms["a1"].feed
+    paused = Deployment(["a1"]).vms["a1"].distributor
     began = time.monotonic()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(paused._pause, feed.IDLE_CHECK_S)
-        await anyio.sleep(feed.CHECK_S / 5)
-        paused.look()
-    assert time.monotonic() - began < feed.IDLE_CHECK_S / 2
+        tasks.start_soon(paused._pause, distributor.IDLE_CHECK_S)
+        await anyio.sleep(distributor.CHECK_S / 5)
+        paused.wake()
+    assert time.monotonic() - began < distributor.IDLE_CHECK_S / 2
 
 
 async def test_a_vm_that_nobody_tells_reads_for_itself() -> None:
--- a/test/test_gossip.py
+++ b/test/test_gossip.py
@@ -70,14 +70,14 @@
         now = started + later_s
         monkeypatch.setattr(steadyclock, "read", lambda at=now: at)
         part = gossip.LIMIT_MARGIN / 3
-        assert made.get_part() == pytest.approx(part)
+        assert made.get_limit_share() == pytest.approx(part)
 
 
 def test_seeds_that_were_met_are_not_counted_twice() -> None:
     made = make_gossiper(["b:1", "c:1"])
     met = [membership.Member(n, "z", f"{n}:1", 1) for n in "bc"]
     made.membership.merge(met, steadyclock.read())
-    assert made.get_part() == 1.0
+    assert made.get_limit_share() == 1.0
 
 
 def test_stale_seeds_are_forgotten_like_dead_members(
@@ -86,14 +86,14 @@
     made = make_gossiper(["b:1", "c:1"])
     later = steadyclock.read() + membership.FORGET_S
     monkeypatch.setattr(steadyclock, "read", lambda: later)
-    assert made.get_part() == 1.0
+    assert made.get_limit_share() == 1.0
 
 
 def test_one_silent_member_has_the_others_looked_at() -> None:
     made = make_gossiper([], silent={"b:1", "c:1"})
     others = [membership.Member(n, "z", f"{n}:1", 1) for n in "bcd"]
     made.membership.merge(others, steadyclock.read())
-    anyio.run(made.check, "b:1")
+    anyio.run(made.probe_now, "b:1")
     states = {m.vm: m.state for m in made.membership.list_all()}
     suspected = [
         vm
@@ -130,11 +130,11 @@
         """See the base class."""
         return 0.0
 
-    def list_ends(self) -> dict[str, int]:
+    def list_stream_ends(self) -> dict[str, int]:
         """See the base class."""
         return dict(self.ends)
 
-    def take_ends(self, ends: Mapping[str, int]) -> None:
+    def update_stream_ends(self, ends: Mapping[str, int]) -> None:
         """See the base class."""
         self.ends.update(ends)
 
@@ -142,11 +142,11 @@
         """See the base class."""
         self.watching = watching
 
-    def set_on_news(self, on_news: Callable[[], None]) -> None:
+    def set_on_stream_advance(self, on_news: Callable[[], None]) -> None:
         """See the base class."""
         self.on_news = on_news
 
-    def take_from_peer(
+    def accept_from_peer(
         self, address: str, told: peer_message.FetchedBundle
     ) -> None:
         """See the base class."""
@@ -168,7 +168,7 @@
         super().__init__()
         self.knows_at: float | None = None
 
-    def take_ends(self, ends: Mapping[str, int]) -> None:
+    def update_stream_ends(self, ends: Mapping[str, int]) -> None:
         """See the base class."""
         if ends["s"] > self.ends["s"]:
             self.ends = dict(ends)
