--- a/ramptray/core/granting.py
+++ b/ramptray/core/granting.py
@@ -20,7 +20,7 @@
 )
 from ramptray.core import rules as shard_rules
 
-HEADS_TRIED = 4
+MAX_HEADS_TRIED = 4
 """Customers whose first request is tried before a tier is left waiting."""
 
 
@@ -30,11 +30,11 @@
     Args:
         address: The owner's address, which its grants name.
         rules: What the bundle says about the shard.
-        waiting: The queue.
+        shard_queue: The queue.
         servers: The shard's backend servers.
         limits: The part of each limit that this owner hands out.
-        chosen: Chooses a backend server.
-        paced: Counts grants.
+        server_selector: Chooses a backend server.
+        estimator: Counts grants.
         releases: Counts what each release gets.
         counters: What the shard has done.
 
@@ -46,21 +46,21 @@
         self,
         address: str,
         rules: shard_rules.ShardRules,
-        waiting: queue.ShardQueue,
+        shard_queue: queue.ShardQueue,
         servers: fleet.Fleet,
         limits: limit.Limits,
-        chosen: selector.Selector,
-        paced: wait_estimator.WaitEstimator,
+        server_selector: selector.Selector,
+        estimator: wait_estimator.WaitEstimator,
         releases: release.ReleaseGate,
         counters: shedding.Counters,
     ) -> None:
         self.rules = rules
         self._address = address
-        self._queue = waiting
+        self._queue = shard_queue
         self._fleet = servers
         self._limits = limits
-        self._selector = chosen
-        self._pace = paced
+        self._selector = server_selector
+        self._wait_estimator = estimator
         self._releases = releases
         self._counters = counters
         self._grant_ids = itertools.count(1)
@@ -74,13 +74,13 @@
             now: The owner's clock in seconds.
             only: The backend servers that have got room; None for any.
         """
-        out = self._grant_at(now, only)
+        out = self._grant_once(now, only)
         if out and only is not None and self._queue:
             # Requests behind the granted ones may fit on other servers.
-            out += self._grant_at(now, None)
+            out += self._grant_once(now, None)
         return out
 
-    def _grant_at(
+    def _grant_once(
         self, now: float, only: list[backends.Backend] | None
     ) -> list[owner_effect.SendToEntry]:
         out: list[owner_effect.SendToEntry] = []
@@ -93,7 +93,7 @@
                 continue
             ahead.extend(self._list_heads(tier, now))
             pauses = self._fleet.eligibility.has_pauses(now)
-            if len(ahead) >= HEADS_TRIED and not pauses:
+            if len(ahead) >= MAX_HEADS_TRIED and not pauses:
                 break
         return out
 
@@ -105,11 +105,11 @@
         In a pause of one entry, the requests of others are not held up by it.
         """
         if not self._fleet.eligibility.has_pauses(now):
-            return tier.list_heads(HEADS_TRIED)
+            return tier.list_heads(MAX_HEADS_TRIED)
         is_held = functools.cache(
             lambda entry: self._fleet.eligibility.is_paused(entry, now)
         )
-        return tier.list_heads(HEADS_TRIED, is_held)
+        return tier.list_heads(MAX_HEADS_TRIED, is_held)
 
     def _grant_one(
         self,
@@ -133,7 +133,7 @@
             return None
         self._demote_late_heads(tier, now)
         window = self._selector.take_window() if only is None else only
-        passed: list[queue.QueuedRequest] = []
+        skipped: list[queue.QueuedRequest] = []
         for waiting in self._list_heads(tier, now):
             candidates = window
             if only is None:
@@ -142,13 +142,13 @@
                 waiting, share, now, candidates, ahead
             )
             if chosen is not None:
-                for other in passed:
+                for other in skipped:
                     other.passed_over += waiting.cost
                 return self._place(tier, waiting, chosen, now)
             if waiting.is_starved:
                 # Others only go where it may not.
                 ahead = [*ahead, waiting]
-            passed.append(waiting)
+            skipped.append(waiting)
         return None
 
     def _demote_late_heads(self, tier: queue.TierQueue, now: float) -> None:
@@ -177,9 +177,9 @@
         self._fleet.place(
             request, chosen, waiting.entry, grant_id, now, waiting.since
         )
-        self._pace.count_grant(waiting, now)
+        self._wait_estimator.count_grant(waiting, now)
         self._counters.granted += 1
-        self._releases.note_sent(chosen)
+        self._releases.count_sent(chosen)
         return owner_effect.SendToEntry(
             waiting.entry,
             message.Grant(
@@ -199,7 +199,7 @@
                 chosen.info.max_running,
                 round(expected_s, 4),
                 round(chosen.step_s, 5),
-                _get_left(waiting, now),
+                _get_remaining_s(waiting, now),
                 chosen.get_rate_limit(now, self._limits.server_part),
             ),
         )
@@ -211,7 +211,7 @@
         then served at a known pace, and those beyond it are late from the
         start.
         """
-        rate_per_s = self._pace.get_rate_limit(now)
+        rate_per_s = self._wait_estimator.get_rate_limit(now)
         pause_s = 1.0 / rate_per_s if rate_per_s else 0.0
         ahead = 0
         for waiting in sorted(
@@ -225,7 +225,7 @@
                 ahead += 1
 
 
-def _get_left(waiting: queue.QueuedRequest, now: float) -> float | None:
+def _get_remaining_s(waiting: queue.QueuedRequest, now: float) -> float | None:
     """Returns the seconds left for an answer in time, for the logs."""
     if waiting.late_at == math.inf:
         return None
--- a/ramptray/core/limit.py
+++ b/ramptray/core/limit.py
@@ -32,22 +32,22 @@
 USE_WINDOW_S = 3.0
 """Span over which a customer's use is measured, in seconds."""
 
-MAX_WAIT_S = 2.0
+MAX_RETRY_AFTER_S = 2.0
 """Longest advice on when to come back, in seconds: what a customer asks later
 than that is not known, and many callers give up a request that is older."""
 
-USE_PART = 0.78
+SPAN_USABLE_PART = 0.78
 """Part of a total over a span that is handed out in it.  With what may be used
 at once and its overdraft it makes the whole: an owner that takes over within a
 span does not know what was handed out before."""
 
-LUMP_PART = 0.17
+SPAN_BURST_PART = 0.17
 """Part of a total over a span that may be used at once."""
 
 OVERDRAFT_PART = 0.25
 """Part of what may be used at once by which one request may overdraw it."""
 
-MARGIN = 0.1
+LENDING_MARGIN = 0.1
 """Part of a zone's share that is never lent, since words are late."""
 
 STAND_IN_PART = 0.5
@@ -76,7 +76,7 @@
     span_total: float = 0.0
 
 
-class _Shape(msgspec.Struct, frozen=True):
+class _BucketConfig(msgspec.Struct, frozen=True):
     """How a bucket fills and empties.
 
     Attributes:
@@ -96,12 +96,12 @@
     span_total: float = 0.0
 
 
-def _make_shape(rate: RateLimit, per_s: float) -> _Shape:
+def _make_bucket_config(rate: RateLimit, per_s: float) -> _BucketConfig:
     """Returns the shape of a bucket for one kind of what is counted."""
     if rate.span_s is not None:
-        total = rate.span_total * USE_PART
-        depth = rate.span_total * LUMP_PART
-        return _Shape(
+        total = rate.span_total * SPAN_USABLE_PART
+        depth = rate.span_total * SPAN_BURST_PART
+        return _BucketConfig(
             total / rate.span_s,
             depth,
             0.0,
@@ -110,10 +110,10 @@
             total,
         )
     depth = per_s * BURST_S if rate.burst is None else rate.burst
-    return _Shape(per_s, depth, depth)
+    return _BucketConfig(per_s, depth, depth)
 
 
-class _Span:
+class _SlidingWindow:
     """What was taken within a sliding span of time."""
 
     def __init__(self, span_s: float) -> None:
@@ -148,22 +148,24 @@
         return self._span_s
 
 
-class _Bucket:
+class _TokenBucket:
     """A token bucket that also measures what was asked of it."""
 
-    def __init__(self, shape: _Shape, part: float, now: float) -> None:
+    def __init__(self, shape: _BucketConfig, part: float, now: float) -> None:
         self.share = shape.rate
         self.rate = shape.rate * part
-        self._shape = shape
+        self._config = shape
         self._level = max(shape.start * part, 1.0)
-        self._span = _Span(shape.span_s) if shape.span_s is not None else None
+        self._span = (
+            _SlidingWindow(shape.span_s) if shape.span_s is not None else None
+        )
         self._refused = 0.0
         self._filled_at = now
-        self._asked = meter.RateMeter(USE_WINDOW_S)
+        self._demand = meter.RateMeter(USE_WINDOW_S)
 
     def get_size(self) -> float:
         """Returns the most that may be used at once."""
-        return max(self._shape.depth * self.rate / self.share, 1.0)
+        return max(self._config.depth * self.rate / self.share, 1.0)
 
     def set_rate(self, rate: float) -> None:
         """Takes another rate; what is left grows or shrinks with it."""
@@ -171,7 +173,7 @@
             self._level *= rate / self.rate
         self.rate = rate
 
-    def take_over(self, former: _Bucket) -> None:
+    def inherit(self, former: _TokenBucket) -> None:
         """Starts with what a bucket of the same customer has left.
 
         Without it, each change of the configuration would fill all buckets.
@@ -180,8 +182,8 @@
         self._level = min(self.get_size(), max(0.0, part) * self.get_size())
         self._refused = former._refused
         self._filled_at = former._filled_at
-        self._asked = former._asked
-        if former._shape.span_s == self._shape.span_s:
+        self._demand = former._demand
+        if former._config.span_s == self._config.span_s:
             self._span = former._span
 
     def take(self, amount: float, now: float) -> None:
@@ -190,7 +192,7 @@
         if self._span is not None:
             self._span.add(amount, now)
 
-    def give_back(self, amount: float, taken_at: float) -> None:
+    def refund(self, amount: float, taken_at: float) -> None:
         """Takes back what was not used in the end."""
         self._level = min(self.get_size(), self._level + amount)
         if self._span is not None:
@@ -202,7 +204,7 @@
         Those that were refused come back, and the bucket serves one after the
         other: each gets the time by which those before it are through.
         """
-        self._asked.add(int(amount), now)
+        self._demand.add(int(amount), now)
         earned = (now - self._filled_at) * self.rate
         self._level = min(self.get_size(), self._level + earned)
         self._refused = max(0.0, self._refused - earned)
@@ -213,12 +215,12 @@
             return 0.0
         wait_s = (missing + self._refused) / self.rate
         self._refused += amount
-        return min(max(wait_s, span_wait_s), MAX_WAIT_S)
+        return min(max(wait_s, span_wait_s), MAX_RETRY_AFTER_S)
 
     def _get_span_wait(self, amount: float, now: float) -> float:
         if self._span is None:
             return 0.0
-        total = self._shape.span_total * self.rate / self.share
+        total = self._config.span_total * self.rate / self.share
         return self._span.get_wait(amount, total, now)
 
     def _get_needed(self, amount: float) -> float:
@@ -229,14 +231,14 @@
         through and never a large one.
         """
         needed = min(amount, 1.0)
-        if self._shape.overdraft is not None:
+        if self._config.overdraft is not None:
             part = self.rate / self.share
-            needed = max(needed, amount - self._shape.overdraft * part)
+            needed = max(needed, amount - self._config.overdraft * part)
         return min(needed, self.get_size())
 
     def get_use(self, now: float) -> float:
         """Returns what is asked, as a part of the zone's own share."""
-        return self._asked.get_rate(now) / self.share
+        return self._demand.get_rate(now) / self.share
 
 
 class Limits:
@@ -251,15 +253,15 @@
         self._rates = rates
         self.part = 1.0
         self.server_part = 1.0
-        self._buckets: dict[str, list[tuple[str, _Bucket]]] = {}
-        self._former: dict[str, list[tuple[str, _Bucket]]] = {}
+        self._buckets: dict[str, list[tuple[str, _TokenBucket]]] = {}
+        self._former_buckets: dict[str, list[tuple[str, _TokenBucket]]] = {}
         self._wanted_elsewhere: frozenset[str] = frozenset()
 
     def set_rates(self, rates: dict[str, RateLimit]) -> None:
         """Takes the rates of the bundle in force; the same change nothing."""
         if rates != self._rates:
             self._rates = rates
-            self._former = {**self._former, **self._buckets}
+            self._former_buckets = {**self._former_buckets, **self._buckets}
             self._buckets = {}
 
     def set_part(self, part: float, stands_in: bool = False) -> None:
@@ -284,7 +286,7 @@
             0 where the request fits, else the seconds until it would.
         """
         amounts = _make_amounts(cost)
-        buckets = self._get(customer, now)
+        buckets = self._get_buckets(customer, now)
         wait_s = max(
             (bucket.get_wait(amounts[kind], now) for kind, bucket in buckets),
             default=0.0,
@@ -304,7 +306,7 @@
         """
         amounts = _make_amounts(cost)
         for kind, bucket in self._buckets.get(customer, []):
-            bucket.give_back(amounts[kind], taken_at)
+            bucket.refund(amounts[kind], taken_at)
 
     def list_uses(self, now: float) -> dict[str, float]:
         """Returns the use of those customers that some zone wants more for.
@@ -333,7 +335,7 @@
         for uses in fresh:
             for customer, use in uses.items():
                 wanted[customer] = wanted.get(customer, 1) + (use > 1.0)
-                left = max(0.0, 1.0 - MARGIN - use)
+                left = max(0.0, 1.0 - LENDING_MARGIN - use)
                 spare[customer] = spare.get(customer, 0.0) + left
         self._wanted_elsewhere = frozenset(
             customer
@@ -352,7 +354,9 @@
             default=0.0,
         )
 
-    def _get(self, customer: str, now: float) -> list[tuple[str, _Bucket]]:
+    def _get_buckets(
+        self, customer: str, now: float
+    ) -> list[tuple[str, _TokenBucket]]:
         if customer not in self._buckets:
             rate = self._rates.get(customer, RateLimit())
             kinds = [
@@ -360,16 +364,21 @@
                 ("tokens", rate.tokens_per_s),
             ]
             made = [
-                (kind, _Bucket(_make_shape(rate, per_s), self.part, now))
+                (
+                    kind,
+                    _TokenBucket(
+                        _make_bucket_config(rate, per_s), self.part, now
+                    ),
+                )
                 for kind, per_s in kinds
                 if per_s is not None
             ]
             if not made:
                 return []
-            former = dict(self._former.pop(customer, []))
+            former = dict(self._former_buckets.pop(customer, []))
             for kind, bucket in made:
                 if kind in former:
-                    bucket.take_over(former[kind])
+                    bucket.inherit(former[kind])
             self._buckets[customer] = made
         return self._buckets[customer]
 
--- a/ramptray/core/queue.py
+++ b/ramptray/core/queue.py
@@ -16,10 +16,10 @@
 """Cost of an output token in prompt tokens: decoding is the slower part."""
 
 
-LOOKED_AT = 64
+MAX_SCANNED_REQUESTS = 64
 """Requests of a customer that are looked at for the first ones of entries."""
 
-ENTRIES_TRIED = 4
+MAX_ENTRY_HEADS = 4
 """Entries of a customer whose first request is listed."""
 
 
@@ -79,7 +79,7 @@
             str, collections.OrderedDict[str, QueuedRequest]
         ] = {}
         self._used: dict[str, float] = {}
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._heap: list[tuple[float, str]] = []
 
     def push(self, waiting: QueuedRequest) -> None:
@@ -88,14 +88,14 @@
         queue = self._queues.get(customer)
         if queue is None:
             queue = self._queues[customer] = collections.OrderedDict()
-            used = max(self._used.get(customer, 0.0), self._virtual)
+            used = max(self._used.get(customer, 0.0), self._virtual_time)
             self._used[customer] = used
             heapq.heappush(self._heap, (used, customer))
         queue[waiting.request.request_id] = waiting
         self.cost += waiting.cost
         self.count += 1
 
-    def restore(self, waiting: QueuedRequest) -> None:
+    def push_front(self, waiting: QueuedRequest) -> None:
         """Puts a request back at the head of its customer's queue."""
         self.push(waiting)
         queue = self._queues[waiting.request.customer]
@@ -114,8 +114,8 @@
     def charge(self, waiting: QueuedRequest, share: float) -> None:
         """Counts a granted request against its customer's share."""
         customer = waiting.request.customer
-        used = self._used.get(customer, self._virtual)
-        self._virtual = max(self._virtual, used)
+        used = self._used.get(customer, self._virtual_time)
+        self._virtual_time = max(self._virtual_time, used)
         self._used[customer] = used + waiting.cost / share
         if customer in self._queues:
             heapq.heappush(self._heap, (self._used[customer], customer))
@@ -123,19 +123,22 @@
             self._forget_idle()
 
     def list_heads(
-        self, most: int, is_held: Callable[[str], bool] | None = None
+        self, max_customers: int, is_paused: Callable[[str], bool] | None = None
     ) -> list[QueuedRequest]:
-        """Returns the first request of up to ``most`` customers, in order.
+        """Returns the first request of up to ``max_customers`` customers.
+
+        They are in scheduling order.
 
         Args:
-            most: How many customers.
-            is_held: Returns whether the requests of an entry can go nowhere
-                now.  With it, the first requests of a few other entries are
-                listed of each customer.
+            max_customers: How many customers.
+            is_paused: Returns whether every server has asked an entry for a
+                pause.  If given, up to ``MAX_ENTRY_HEADS`` requests are
+                listed per customer, the first of each entry that is not
+                paused.
         """
         heads: list[QueuedRequest] = []
         taken: list[tuple[float, str]] = []
-        while self._heap and len(taken) < most:
+        while self._heap and len(taken) < max_customers:
             used, customer = heapq.heappop(self._heap)
             stale = used != self._used.get(customer)
             if stale or customer not in self._queues:
@@ -144,10 +147,10 @@
                 continue
             taken.append((used, customer))
             queue = self._queues[customer]
-            if is_held is None:
+            if is_paused is None:
                 heads.append(next(iter(queue.values())))
             else:
-                heads += _list_first_of_entries(queue.values(), is_held)
+                heads += _list_entry_heads(queue.values(), is_paused)
         for item in taken:
             heapq.heappush(self._heap, item)
         return heads
@@ -172,7 +175,7 @@
         self._used = {
             customer: used
             for customer, used in self._used.items()
-            if customer in self._queues or used > self._virtual
+            if customer in self._queues or used > self._virtual_time
         }
 
 
@@ -238,8 +241,8 @@
             deadline=now + request.deadline_s,
             cost=compute_cost(request),
             since=now,
-            late_at=_add(now, request.objective_s),
-            refuse_at=_add(now, request.wait_s),
+            late_at=_add_optional(now, request.objective_s),
+            refuse_at=_add_optional(now, request.wait_s),
         )
 
     def push(self, waiting: QueuedRequest) -> None:
@@ -247,10 +250,10 @@
         self._waiting[waiting.request.request_id] = waiting
         self.tiers[waiting.rank].push(waiting)
 
-    def restore(self, waiting: QueuedRequest) -> None:
+    def push_front(self, waiting: QueuedRequest) -> None:
         """Puts a request back at the head of its customer's queue."""
         self._waiting[waiting.request.request_id] = waiting
-        self.tiers[waiting.rank].restore(waiting)
+        self.tiers[waiting.rank].push_front(waiting)
 
     def remove(self, waiting: QueuedRequest) -> None:
         """Takes a request out."""
@@ -272,7 +275,7 @@
         """Returns every waiting request, in order of arrival."""
         return list(self._waiting.values())
 
-    def list_behind(self) -> list[QueuedRequest]:
+    def list_late(self) -> list[QueuedRequest]:
         """Returns the late requests while others wait that may be in time.
 
         They would begin only after all of those, and more arrive meanwhile.
@@ -316,18 +319,18 @@
         return self._ranks.get(request.tier, self._tier_count - 1)
 
 
-def _list_first_of_entries(
+def _list_entry_heads(
     line: Iterable[QueuedRequest], is_held: Callable[[str], bool]
 ) -> list[QueuedRequest]:
     """Returns the first requests of a few entries in a customer's line."""
     first: dict[str, QueuedRequest] = {}
-    for waiting in itertools.islice(line, LOOKED_AT):
+    for waiting in itertools.islice(line, MAX_SCANNED_REQUESTS):
         if waiting.entry not in first and not is_held(waiting.entry):
             first[waiting.entry] = waiting
-        if len(first) >= ENTRIES_TRIED:
+        if len(first) >= MAX_ENTRY_HEADS:
             break
     return list(first.values())
 
 
-def _add(now: float, left_s: float | None) -> float:
+def _add_optional(now: float, left_s: float | None) -> float:
     return math.inf if left_s is None else now + left_s
--- a/ramptray/core/release.py
+++ b/ramptray/core/release.py
@@ -11,7 +11,7 @@
 
     Args:
         servers: The shard's backend servers.
-        chosen: How they are chosen.
+        placement_policy: How they are chosen.
         limits: Whose part of what all owners share is this owner's.
 
     Attributes:
@@ -21,12 +21,12 @@
     def __init__(
         self,
         servers: fleet.Fleet,
-        chosen: policy.Policy,
+        placement_policy: policy.Policy,
         limits: limit.Limits,
     ) -> None:
         self.rollout: rollout.Rollout | None = None
         self._fleet = servers
-        self._policy = chosen
+        self._policy = placement_policy
         self._limits = limits
 
     def set_order(
@@ -56,7 +56,7 @@
         )
         self.rollout.decide(places, now)
 
-    def list_open(
+    def filter_allowed(
         self, candidates: list[backends.Backend]
     ) -> list[backends.Backend]:
         """Returns the candidates whose release may get a request now."""
@@ -83,12 +83,12 @@
         chosen = self._policy.choose(demand, tried) if tried else None
         return chosen or self._policy.choose(demand, candidates)
 
-    def note_sent(self, chosen: backends.Backend) -> None:
+    def count_sent(self, chosen: backends.Backend) -> None:
         """Counts a request that was granted."""
         if self.rollout is not None:
             self.rollout.note_sent(self._is_new(chosen))
 
-    def judge(self, ended: message.Ended) -> None:
+    def record_answer(self, ended: message.Ended) -> None:
         """Tells the rollout how an answer went, if that says anything."""
         backend = self._fleet.find(ended.request_id)
         placed = self._fleet.get_placed(ended.request_id)
--- a/ramptray/core/remote_shards.py
+++ b/ramptray/core/remote_shards.py
@@ -24,14 +24,16 @@
 
     def has_room(self, waiting: queue.QueuedRequest) -> bool:
         """Returns whether some zone would keep a request."""
-        return bool(self._list_rooms(waiting))
+        return bool(self._list_with_room(waiting))
 
     def pick(self, waiting: queue.QueuedRequest) -> summary.ShardSummary | None:
         """Returns the zone with room where least waits, if there is one."""
-        rooms = self._list_rooms(waiting)
-        return min(rooms, key=lambda found: sum(found.waiting), default=None)
+        with_room = self._list_with_room(waiting)
+        return min(
+            with_room, key=lambda found: sum(found.waiting), default=None
+        )
 
-    def _list_rooms(
+    def _list_with_room(
         self, waiting: queue.QueuedRequest
     ) -> list[summary.ShardSummary]:
         tried = (*waiting.request.spilled_from, self._zone)
--- a/ramptray/core/request.py
+++ b/ramptray/core/request.py
@@ -138,7 +138,7 @@
         """Ends a waiting request that its owner gave up."""
         if self.state is not State.WAITING or owner != self.owner:
             return []
-        return self._end_unrun(
+        return self._end_waiting(
             reject.reason, reject.retry_after_s, notify_owner=False
         )
 
@@ -161,7 +161,7 @@
         final = finish or Finish(message.Outcome.NOT_RUN)
         # Its claim may yet land, so the key is freed by a release.  Where the
         # claim was read and did not hold, the release changes nothing.
-        return [*self._leave_owner(), Release(), final]
+        return [*self._withdraw(), Release(), final]
 
     def fail_connect(self, refused: bool = True) -> list[Effect]:
         """Returns to waiting: there is no connection, no byte was sent.
@@ -269,7 +269,7 @@
     def cancel(self, ended: message.Ended) -> list[Effect]:
         """Ends the request because its caller has gone."""
         if self.state is State.WAITING:
-            return self._end_unrun(message.Reason.CALLER_GONE, 0.0)
+            return self._end_waiting(message.Reason.CALLER_GONE, 0.0)
         if self.state is not State.DISPATCHED or self._grant is None:
             return []
         backend = self._grant.backend
@@ -282,7 +282,7 @@
         """Ends a waiting request for the entry's own reasons."""
         if self.state is not State.WAITING:
             return []
-        return self._end_unrun(reason, retry_after_s)
+        return self._end_waiting(reason, retry_after_s)
 
     def _dispatch_if_allowed(self) -> list[Effect]:
         claimed = self.claim in (Claim.NOT_NEEDED, Claim.HELD)
@@ -292,14 +292,14 @@
         self.dispatches += 1
         return [Dispatch(self._grant)]
 
-    def _end_unrun(
+    def _end_waiting(
         self,
         reason: message.Reason,
         retry_after_s: float,
         notify_owner: bool = True,
     ) -> list[Effect]:
         self.state = State.ENDED
-        effects: list[Effect] = self._leave_owner() if notify_owner else []
+        effects: list[Effect] = self._withdraw() if notify_owner else []
         if self.claim in (Claim.PENDING, Claim.HELD):
             effects.append(Release())
         outcome = message.Outcome.NOT_RUN
@@ -307,7 +307,7 @@
             outcome = message.Outcome.UNKNOWN
         return [*effects, Finish(outcome, reason, retry_after_s)]
 
-    def _leave_owner(self) -> list[Effect]:
+    def _withdraw(self) -> list[Effect]:
         if self.owner is None:
             return []
         return [SendToOwner(self.owner, message.Withdraw(self.info.request_id))]
--- a/ramptray/core/retry.py
+++ b/ramptray/core/retry.py
@@ -49,7 +49,7 @@
         allowed = self.rules.extra + self.rules.ratio * requests
         return self._retries[service].get_sum(now) + 1 <= allowed
 
-    def take(self, service: str, now: float) -> bool:
+    def try_take(self, service: str, now: float) -> bool:
         """Takes one further attempt, if the budget has any left."""
         if not self.has_attempts_left(service, now):
             return False
--- a/ramptray/core/selector.py
+++ b/ramptray/core/selector.py
@@ -75,7 +75,7 @@
                 take are not for this one.
         """
         usable = self._fleet.eligibility.list_open_to(candidates, waiting, now)
-        usable = self._releases.list_open(usable)
+        usable = self._releases.filter_allowed(usable)
         usable = anti_affinity.separate_suspects(
             usable, waiting.request, self._is_suspect
         )
--- a/ramptray/core/shard.py
+++ b/ramptray/core/shard.py
@@ -51,7 +51,7 @@
         address: str,
         rules: shard_rules.ShardRules,
         infos: list[backends.BackendInfo],
-        chosen: policy.Policy,
+        placement_policy: policy.Policy,
         now: float,
         report_grace_s: float = REPORT_GRACE_S,
         limits: limit.Limits | None = None,
@@ -67,15 +67,17 @@
         self._entries: set[str] = set()
         self._remote = remote_shards.RemoteShards(shard)
         self._limits = limits or limit.Limits(rules.limits)
-        self.releases = release.ReleaseGate(self.fleet, chosen, self._limits)
-        self._pace = wait_estimator.WaitEstimator(
+        self.releases = release.ReleaseGate(
+            self.fleet, placement_policy, self._limits
+        )
+        self._wait_estimator = wait_estimator.WaitEstimator(
             self._queue, self.fleet, self._limits
         )
         self._shedder = shedding.Shedder(
             self._queue,
             self.fleet,
             self._limits,
-            self._pace,
+            self._wait_estimator,
             self._remote,
             self._entries,
             now,
@@ -88,9 +90,13 @@
             self.fleet,
             self._limits,
             selector.Selector(
-                self.fleet, chosen, self._limits, self.releases, is_suspect
+                self.fleet,
+                placement_policy,
+                self._limits,
+                self.releases,
+                is_suspect,
             ),
-            self._pace,
+            self._wait_estimator,
             self.releases,
             self.counters,
         )
@@ -136,7 +142,7 @@
             version: Larger than that of every earlier summary.
         """
         limited = (
-            self._pace.get_rate_limit(now) is not None
+            self._wait_estimator.get_rate_limit(now) is not None
             or self.fleet.eligibility.get_pause_of_all(len(self._entries), now)
             > 0.0
         )
@@ -184,12 +190,12 @@
             case message.Enqueue(request):
                 return self._enqueue(entry, request, now)
             case message.Running():
-                self._note_running(entry, received, now)
+                self._handle_running(entry, received, now)
             case message.Withdraw(request_id):
-                self._forget(request_id)
+                self._discard(request_id)
             case message.Decline():
                 return [
-                    *self._take_back(entry, received, now),
+                    *self._handle_decline(entry, received, now),
                     *self.grant(now),
                 ]
             case message.FirstToken(request_id):
@@ -198,7 +204,7 @@
                     return self.grant(now, [backend])
                 return []
             case message.Ended(request_id):
-                return self.grant(now, self._end(received, now))
+                return self.grant(now, self._handle_ended(received, now))
             case message.SyncDone():
                 self._finish_sync(entry)
             case message.SpeedLearned():
@@ -262,7 +268,7 @@
         if refused := self._shedder.admit(waiting, now):
             return [refused]
         self._queue.push(waiting)
-        if out := self._shedder.refuse_out_of_reach(waiting, now):
+        if out := self._shedder.refuse_unreachable(waiting, now):
             return out
         granted = self.grant(now)
         paused = self._shedder.refuse_paused([waiting], now)
@@ -272,7 +278,7 @@
         """Returns how many requests of each entry wait."""
         return collections.Counter(w.entry for w in self._queue.list_all())
 
-    def _note_running(
+    def _handle_running(
         self, entry: str, running: message.Running, now: float
     ) -> None:
         request_id = running.request.request_id
@@ -288,7 +294,7 @@
         began = now - running.running_s
         self.fleet.place(running.request, backend, entry, "", began)
 
-    def _take_back(
+    def _handle_decline(
         self, entry: str, decline: message.Decline, now: float
     ) -> list[owner_effect.SendToEntry]:
         """Frees the place of a declined grant; the request waits again."""
@@ -311,15 +317,17 @@
             placed.request, avoid=decline.avoid, silent=decline.silent
         )
         waiting = self._queue.make(request, entry, placed.asked_at)
-        self._queue.restore(waiting)
-        return self._shedder.refuse_out_of_reach(waiting, now)
+        self._queue.push_front(waiting)
+        return self._shedder.refuse_unreachable(waiting, now)
 
-    def _end(self, ended: message.Ended, now: float) -> list[backends.Backend]:
+    def _handle_ended(
+        self, ended: message.Ended, now: float
+    ) -> list[backends.Backend]:
         """Returns the backend server that has got room, if any."""
         if ended.request_id not in self.fleet:
             self._queue.discard(ended.request_id)
             return []
-        self.releases.judge(ended)
+        self.releases.record_answer(ended)
         backend = self.fleet.end(ended, now)
         return [backend] if backend else []
 
@@ -327,7 +335,7 @@
         for request_id in self._syncing.pop(entry, set()):
             self.fleet.free(request_id)
 
-    def _forget(self, request_id: str) -> None:
+    def _discard(self, request_id: str) -> None:
         self._queue.discard(request_id)
         self.fleet.free(request_id)
 
--- a/ramptray/core/shedding.py
+++ b/ramptray/core/shedding.py
@@ -23,14 +23,14 @@
 STARTUP_GRACE_S = 3.0
 """How long a new owner waits for the summaries of other zones, in seconds."""
 
-MIN_RETRY_S = 0.5
+MIN_RETRY_AFTER_S = 0.5
 """Shortest Retry-After, in seconds."""
 
-OUT_OF_REACH_RETRY_S = 1.0
+UNREACHABLE_RETRY_AFTER_S = 1.0
 """Shortest Retry-After where no backend server is in reach, in seconds: by then
 the balancer may send the caller to a VM that is better placed."""
 
-MAX_RETRY_S = 30.0
+MAX_RETRY_AFTER_S = 30.0
 """Longest Retry-After, in seconds."""
 
 
@@ -48,13 +48,13 @@
     """Takes requests out of a shard's queue that are not to wait there.
 
     Args:
-        waiting: The queue.
+        shard_queue: The queue.
         servers: The shard's backend servers.
         limits: The customers' limits.
-        paced: Estimates of waiting.
-        others: The same shard in other zones.
+        estimator: Estimates of waiting.
+        remotes: The same shard in other zones.
         entries: The entries that ask here.
-        born: When the owner took over, on its clock in seconds.
+        started_at: When the owner took over, on its clock in seconds.
 
     Attributes:
         counters: What the shard has done.
@@ -63,23 +63,23 @@
 
     def __init__(
         self,
-        waiting: queue.ShardQueue,
+        shard_queue: queue.ShardQueue,
         servers: fleet.Fleet,
         limits: limit.Limits,
-        paced: wait_estimator.WaitEstimator,
-        others: remote_shards.RemoteShards,
+        estimator: wait_estimator.WaitEstimator,
+        remotes: remote_shards.RemoteShards,
         entries: Collection[str],
-        born: float,
+        started_at: float,
     ) -> None:
         self.counters = Counters()
         self.queue_cost = 0
-        self._queue = waiting
+        self._queue = shard_queue
         self._fleet = servers
         self._limits = limits
-        self._pace = paced
-        self._remote = others
+        self._wait_estimator = estimator
+        self._remote = remotes
         self._entries = entries
-        self._born = born
+        self._started_at = started_at
         self._shed: dict[str, meter.RateMeter] = {}
 
     def list_shed(self, now: float) -> dict[str, int]:
@@ -100,7 +100,7 @@
         request = waiting.request
         if request.spilled_from or request.attempt:
             return None
-        counted = _count(waiting)
+        counted = _get_limit_cost(waiting)
         wait_s = self._limits.try_acquire(request.customer, counted, now)
         if wait_s == 0.0:
             waiting.counted_at = now
@@ -141,11 +141,11 @@
         """
         return [
             self._refuse(waiting, message.Reason.OVERLOADED, now)
-            for waiting in self._queue.list_behind()
+            for waiting in self._queue.list_late()
             if not waiting.request.attempt
         ]
 
-    def refuse_out_of_reach(
+    def refuse_unreachable(
         self, waiting: queue.QueuedRequest, now: float
     ) -> list[owner_effect.SendToEntry]:
         """Gives up a request whose entry can reach no backend server.
@@ -154,7 +154,9 @@
         """
         if not self._fleet.eligibility.is_out_of_reach(waiting.request):
             return []
-        return [self._turn_away(waiting, now, message.Reason.NO_BACKEND)]
+        return [
+            self._redirect_or_refuse(waiting, now, message.Reason.NO_BACKEND)
+        ]
 
     def refuse_paused(
         self, candidates: Iterable[queue.QueuedRequest], now: float
@@ -165,7 +167,7 @@
         same VM for a pause.
         """
         return [
-            self._turn_away(waiting, now)
+            self._redirect_or_refuse(waiting, now)
             for waiting in candidates
             if waiting.request.request_id in self._queue
             and now + self._fleet.eligibility.get_pause(waiting, now)
@@ -181,12 +183,12 @@
             victim = self._queue.pick_victim()
             if victim is None or len(self._queue) == 1:
                 break
-            out.append(self._turn_away(victim, now))
+            out.append(self._redirect_or_refuse(victim, now))
         if newest.request.request_id not in self._queue:
             return out
         if self._cannot_meet_deadline(newest, now):
             reason = message.Reason.DEADLINE
-            out.append(self._turn_away(newest, now, reason))
+            out.append(self._redirect_or_refuse(newest, now, reason))
         return [*out, *self.spill_over(now)]
 
     def spill_over(self, now: float) -> list[owner_effect.SendToEntry]:
@@ -196,10 +198,10 @@
         """
         if self._fleet.has_usable:
             return []
-        is_starting = now - self._born <= STARTUP_GRACE_S
+        is_starting = now - self._started_at <= STARTUP_GRACE_S
         lowest_first = sorted(self._queue.list_all(), key=lambda w: -w.rank)
         return [
-            self._turn_away(waiting, now)
+            self._redirect_or_refuse(waiting, now)
             for waiting in lowest_first
             if not is_starting or self._remote.has_room(waiting)
         ]
@@ -214,10 +216,10 @@
         """
         if self._queue.has_lower(waiting.rank):
             return False
-        wait_s = self._pace.estimate_wait(waiting, now)
+        wait_s = self._wait_estimator.estimate_wait(waiting, now)
         return now + wait_s > waiting.deadline
 
-    def _turn_away(
+    def _redirect_or_refuse(
         self,
         waiting: queue.QueuedRequest,
         now: float,
@@ -234,7 +236,7 @@
             message.Redirect(
                 waiting.request.request_id, target.shard.zone, target.owner
             ),
-            self._make_basis(),
+            self._make_inputs(),
         )
 
     def _refuse(
@@ -244,24 +246,28 @@
         self._count_shed(waiting.request.tier, now)
         if waiting.counted_at is not None:
             self._limits.refund(
-                waiting.request.customer, _count(waiting), waiting.counted_at
+                waiting.request.customer,
+                _get_limit_cost(waiting),
+                waiting.counted_at,
             )
         if not self._fleet.has_usable:
             reason = message.Reason.NO_BACKEND
-        least_s = MIN_RETRY_S
+        least_s = MIN_RETRY_AFTER_S
         if reason is message.Reason.NO_BACKEND:
-            least_s = OUT_OF_REACH_RETRY_S
-        self._pace.count_refusal(waiting, now)
+            least_s = UNREACHABLE_RETRY_AFTER_S
+        self._wait_estimator.count_refusal(waiting, now)
         # In a pause of all entries the queue is served from its end on.
         pause_s = self._fleet.eligibility.get_pause_of_all(
             len(self._entries), now
         )
         wait_s = max(
             least_s,
-            pause_s + self._pace.estimate_wait(waiting, now),
-            pause_s + self._pace.estimate_return(waiting, now),
+            pause_s + self._wait_estimator.estimate_wait(waiting, now),
+            pause_s + self._wait_estimator.estimate_retry_after(waiting, now),
+        )
+        return self._make_reject(
+            waiting, reason, min(wait_s, MAX_RETRY_AFTER_S)
         )
-        return self._make_reject(waiting, reason, min(wait_s, MAX_RETRY_S))
 
     def _make_reject(
         self,
@@ -272,10 +278,10 @@
         return owner_effect.SendToEntry(
             waiting.entry,
             message.Reject(waiting.request.request_id, reason, retry_s),
-            self._make_basis(),
+            self._make_inputs(),
         )
 
-    def _make_basis(self) -> owner_effect.DecisionInputs:
+    def _make_inputs(self) -> owner_effect.DecisionInputs:
         open_ones = [b for b in self._fleet.list_all() if not b.is_lost]
         return owner_effect.DecisionInputs(
             len(self._queue),
@@ -289,7 +295,7 @@
         shed.add(1, now)
 
 
-def _count(waiting: queue.QueuedRequest) -> int:
+def _get_limit_cost(waiting: queue.QueuedRequest) -> int:
     """Returns what a request counts against its customer's limit."""
     counted = waiting.request.limit_tokens
     return waiting.cost if counted is None else counted
--- a/ramptray/core/wait_estimator.py
+++ b/ramptray/core/wait_estimator.py
@@ -12,18 +12,18 @@
     """Measures the rate of grants; a rate limit of all servers goes before it.
 
     Args:
-        waiting: The shard's queue.
+        shard_queue: The shard's queue.
         servers: Its backend servers.
         limits: The part of each limit that this owner hands out.
     """
 
     def __init__(
         self,
-        waiting: queue.ShardQueue,
+        shard_queue: queue.ShardQueue,
         servers: fleet.Fleet,
         limits: limit.Limits,
     ) -> None:
-        self._queue = waiting
+        self._queue = shard_queue
         self._fleet = servers
         self._limits = limits
         self._granted = meter.RateMeter(WINDOW_S)
@@ -50,7 +50,7 @@
         rate = self._granted.get_rate(now)
         return self._queue.get_cost_ahead(waiting) / rate if rate else 0.0
 
-    def estimate_return(
+    def estimate_retry_after(
         self, waiting: queue.QueuedRequest, now: float
     ) -> float:
         """Returns the seconds until a refused request may be served.
--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -258,7 +258,7 @@
         may_repeat = (
             wanted
             and ticket.machine.dispatches < info.max_attempts
-            and self._budget.take(info.shard.service, now)
+            and self._budget.try_take(info.shard.service, now)
         )
         finish = request.Finish(
             message.Outcome.UNKNOWN, event.reason, ATTEMPT_RETRY_S
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -127,12 +127,12 @@
 
 def test_the_retry_budget_counts_over_a_window() -> None:
     budget = retry.RetryBudget(retry.BudgetRules(0.5, 1.0, 10.0))
-    assert budget.take("s", 0.0)
-    assert not budget.take("s", 0.0)
+    assert budget.try_take("s", 0.0)
+    assert not budget.try_take("s", 0.0)
     for _ in range(4):
         budget.count_request("s", 1.0)
-    assert [budget.take("s", 1.0) for _ in range(3)] == [True, True, False]
-    assert budget.take("s", 12.0)
+    assert [budget.try_take("s", 1.0) for _ in range(3)] == [True, True, False]
+    assert budget.try_take("s", 12.0)
 
 
 def make_owners() -> owners.Owners:
@@ -337,4 +337,4 @@
     # The bucket has earned two seconds' worth since.
     assert limits.try_acquire("c", 100, 2.0) == 0
     waits = [limits.try_acquire("c", 500, 2.0) for _ in range(9)]
-    assert max(waits) == limit.MAX_WAIT_S
+    assert max(waits) == limit.MAX_RETRY_AFTER_S
--- a/test/test_totals.py
+++ b/test/test_totals.py
@@ -128,7 +128,7 @@
     waits = [
         limits.try_acquire("ola", 5000, 1.0 + n / 1000) for n in range(1000)
     ]
-    assert max(waits) <= limit.MAX_WAIT_S
+    assert max(waits) <= limit.MAX_RETRY_AFTER_S
     assert min(wait for wait in waits if wait) > 0
 
 
--- a/test/test_waiting.py
+++ b/test/test_waiting.py
@@ -280,7 +280,7 @@
     ]
     assert len(told) == 80
     assert max(told) > 5.0  # Ten a second were served.
-    assert max(told) <= shedding.MAX_RETRY_S
+    assert max(told) <= shedding.MAX_RETRY_AFTER_S
 
 
 def test_owners_that_start_at_once_do_not_all_choose_the_same_server() -> None:
