--- a/ramptray/node/main.py
+++ b/ramptray/node/main.py
@@ -114,12 +114,12 @@
             self._equipment.timeline,
             self._blocks,
         )
-        self._hub.guard.on_crash = self._keeper.read_soon
-        self._verdict_keeper = rollouts.VerdictKeeper(
+        self._hub.content_blocker.on_crash = self._keeper.read_soon
+        self._verdict_keeper = rollouts.VerdictWriter(
             platform_rollout.TopicVerdictLog(self._store),
             self._hub.rollouts.verdicts,
         )
-        self._hub.rollouts.on_verdict = self._verdict_keeper.keep
+        self._hub.rollouts.on_verdict = self._verdict_keeper.enqueue
         self._gossiper.verdicts = self._hub.rollouts.verdicts
         self._servant = servant.SchedulerServant(
             self._hub, self._gossiper, self._follower, self._equipment.timeline
--- a/ramptray/scheduler/attached.py
+++ b/ramptray/scheduler/attached_process.py
@@ -12,7 +12,7 @@
 from ramptray.peer import message as peer_message
 
 
-class Attached(msgspec.Struct):
+class AttachedProcess(msgspec.Struct):
     """What is known of an attached process."""
 
     hello: peer_message.Hello
@@ -27,11 +27,11 @@
     """
 
     def __init__(self) -> None:
-        self._sessions: dict[peer_link.Session, Attached | None] = {}
+        self._sessions: dict[peer_link.Session, AttachedProcess | None] = {}
         self._entries: dict[str, peer_link.Session] = {}
         self._sent_at: dict[str, float] = {}
 
-    def __iter__(self) -> Iterator[tuple[peer_link.Session, Attached]]:
+    def __iter__(self) -> Iterator[tuple[peer_link.Session, AttachedProcess]]:
         """Iterates over the processes that have introduced themselves."""
         for session, attached in self._sessions.items():
             if attached is not None:
@@ -41,7 +41,7 @@
         """Takes a session whose process is not known yet."""
         self._sessions[session] = None
 
-    def get(self, session: peer_link.Session) -> Attached | None:
+    def get(self, session: peer_link.Session) -> AttachedProcess | None:
         """Returns the process of a session, if it has introduced itself."""
         return self._sessions.get(session)
 
@@ -49,7 +49,7 @@
         self, session: peer_link.Session, hello: peer_message.Hello
     ) -> None:
         """Takes a process that has introduced itself."""
-        self._sessions[session] = Attached(hello)
+        self._sessions[session] = AttachedProcess(hello)
 
     def add_entry(self, session: peer_link.Session, name: str) -> None:
         """Takes an entry's session and closes its former one, if any."""
@@ -87,6 +87,6 @@
             session.send(sent)
             self._sent_at[entry] = now
 
-    def get_silence(self, entry: str, now: float) -> float:
+    def get_idle_time(self, entry: str, now: float) -> float:
         """Returns the seconds for which an entry was sent nothing."""
         return now - self._sent_at.get(entry, -math.inf)
--- a/ramptray/scheduler/claims.py
+++ b/ramptray/scheduler/claims.py
@@ -28,7 +28,7 @@
 READ_WAIT_S = 10.0
 RETRY_S = 0.2
 TICK_S = 0.5
-DOWN_S = 2.0
+CLAIM_TIMEOUT_S = 2.0
 """How long the log may fail before a claim is given up, in seconds."""
 
 INBOX = 100_000
@@ -75,7 +75,7 @@
     wake: anyio.Event = msgspec.field(default_factory=anyio.Event)
 
 
-class ClaimDesk:
+class ClaimManager:
     """Owns the partitions that this scheduler serves."""
 
     def __init__(
@@ -107,9 +107,9 @@
 
     def _handle(self, told: Any) -> None:
         match told:
-            case event.Wanted(session, wish):
+            case event.ClaimRequested(session, wish):
                 self._want(session, wish)
-            case event.Unwanted(release):
+            case event.ClaimReleased(release):
                 partition = self._get(release.key)
                 partition.pending.pop(release.attempt, None)
                 self._put(
@@ -118,7 +118,7 @@
                         claim.RecordKind.RELEASE, release.key, release.attempt
                     ),
                 )
-            case event.Finished(finish):
+            case event.ClaimFinished(finish):
                 self._put(
                     self._get(finish.key),
                     claim.ClaimRecord(
@@ -241,7 +241,7 @@
     async def _run_ticks(self) -> None:
         while True:
             await anyio.sleep(TICK_S)
-            overdue = steadyclock.read() - DOWN_S
+            overdue = steadyclock.read() - CLAIM_TIMEOUT_S
             for partition in list(self._partitions.values()):
                 partition.reader.check_underway()
                 for pending in list(partition.pending.values()):
--- a/ramptray/scheduler/guard.py
+++ b/ramptray/scheduler/content_blocker.py
@@ -11,13 +11,13 @@
 LOG = logging.getLogger(__name__)
 
 
-OfHolder = (
+RequestUpdate = (
     message.Withdraw | message.Decline | message.FirstToken | message.Ended
 )
 """What is told of a request to whoever holds it."""
 
 
-class Guard:
+class ContentBlocker:
     """Learns from requests that ended, and refuses those that are blocked.
 
     Args:
@@ -34,7 +34,7 @@
         self, blocks: blocklist.Blocklist, events: timeline.Timeline
     ) -> None:
         self.blocks = blocks
-        self.evidence = suspicion.Evidence(blocks)
+        self.detector = suspicion.Evidence(blocks)
         self.on_crash: Callable[[], None] = _do_nothing
         self._timeline = events
 
@@ -50,13 +50,13 @@
         )
 
     def learn(
-        self, owner: shard.ShardOwner, told: OfHolder, now: float
+        self, owner: shard.ShardOwner, told: RequestUpdate, now: float
     ) -> None:
         """Learns what a request did, before the owner frees its place."""
         match told:
             case message.Decline(request_id, _, True):
                 # It had not reached the backend server.
-                self.evidence.note_absence(request_id)
+                self.detector.note_absence(request_id)
             case message.Ended():
                 self._note_ended(owner, told, now)
 
@@ -74,7 +74,7 @@
                     "block lifted",
                     extra={"content": content, "origin": "it ended well"},
                 )
-            self._tell(self.evidence.note_whole(content, now), now)
+            self._tell(self.detector.note_whole(content, now), now)
             return
         if not ended.gone or known.state is backend.BackendState.LEAVING:
             # Whoever leaves ends as planned, with whatever is left there.
@@ -94,9 +94,9 @@
             for request_id, placed in known.placed.items()
         }
         crash = suspicion.Crash(known.info.name, known.info.run, now, runners)
-        if self.evidence.has_ended(crash):
+        if self.detector.has_ended(crash):
             return
-        verdicts = self.evidence.note_crash(crash)
+        verdicts = self.detector.note_crash(crash)
         self.on_crash()
         self._timeline.note(
             "crash",
@@ -107,7 +107,7 @@
                     "request": runner.request_id,
                     "content": runner.content,
                     "answered_s": runner.answered_s,
-                    "count": self.evidence.get_count(runner.content),
+                    "count": self.detector.get_count(runner.content),
                 }
                 for runner in runners.values()
             ],
--- a/ramptray/scheduler/event.py
+++ b/ramptray/scheduler/event.py
@@ -16,19 +16,19 @@
     from ramptray.engine import client as engine_client
 
 
-class Opened(msgspec.Struct, frozen=True):
+class SessionOpened(msgspec.Struct, frozen=True):
     """A process has attached."""
 
     session: peer_link.Session
 
 
-class Closed(msgspec.Struct, frozen=True):
+class SessionClosed(msgspec.Struct, frozen=True):
     """An attached process has gone."""
 
     session: peer_link.Session
 
 
-class Received(msgspec.Struct, frozen=True):
+class MessageReceived(msgspec.Struct, frozen=True):
     """An attached process has sent a message."""
 
     session: peer_link.Session
@@ -47,13 +47,13 @@
     view: peer_message.View
 
 
-class LowestChanged(msgspec.Struct, frozen=True):
+class LowestGenerationChanged(msgspec.Struct, frozen=True):
     """All VMs of the zone now work by this generation or a newer one."""
 
     generation: int
 
 
-class Reported(msgspec.Struct, frozen=True):
+class LoadReported(msgspec.Struct, frozen=True):
     """An engine's load report has arrived, or none did."""
 
     backend: str
@@ -67,20 +67,20 @@
     events: engine_client.CacheEvents
 
 
-class LeavingListed(msgspec.Struct, frozen=True):
+class LeavingBackendsListed(msgspec.Struct, frozen=True):
     """The platform's list names these backend servers as leaving."""
 
     names: frozenset[str]
 
 
-class Decided(msgspec.Struct, frozen=True):
+class ClaimDecided(msgspec.Struct, frozen=True):
     """The log has decided on a claim."""
 
     session: peer_link.Session
     decision: peer_message.ClaimDecision
 
 
-class EventsWanted(msgspec.Struct, frozen=True):
+class TimelineRequested(msgspec.Struct, frozen=True):
     """An operator asks for the events of this VM's processes.
 
     Attributes:
@@ -92,20 +92,20 @@
     answers: memory.MemoryObjectSendStream[peer_message.TimelineEvents]
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class ClaimRequested(msgspec.Struct, frozen=True):
     """An entry wants a key."""
 
     session: peer_link.Session
     wish: peer_message.ClaimKey
 
 
-class Unwanted(msgspec.Struct, frozen=True):
+class ClaimReleased(msgspec.Struct, frozen=True):
     """An entry will never dispatch an attempt."""
 
     release: peer_message.ReleaseKey
 
 
-class Finished(msgspec.Struct, frozen=True):
+class ClaimFinished(msgspec.Struct, frozen=True):
     """An attempt's answer was whole."""
 
     finish: peer_message.FinishKey
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -128,7 +128,7 @@
         self._settled = 0
         self._count_seeds_until = now + membership.FORGET_S
         self._alarmed = False
-        self.verdicts = rollouts.VerdictBook()
+        self.verdicts = rollouts.VerdictStore()
         self._rtt = rtt.RttEstimator(ALARM_TIMEOUT_S, MAX_ANSWER_S)
         self._tasks: anyio.abc.TaskGroup | None = None
 
@@ -369,7 +369,7 @@
         for contact in [gossip.sender, *gossip.contacts]:
             self._contacts.note(contact)
         self.summaries.merge(gossip.summaries, now)
-        self.verdicts.take(gossip.verdicts)
+        self.verdicts.merge(gossip.verdicts)
 
     def _make_message(self) -> peer_message.Gossip:
         contacts = self._contacts.list_all()
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -25,12 +25,12 @@
 from ramptray.entry import blocked
 from ramptray.peer import link as peer_link
 from ramptray.peer import message as peer_message
-from ramptray.scheduler import attached as attached_processes
 from ramptray.scheduler import (
+    attached_process,
+    content_blocker,
     event,
     gossip,
-    guard,
-    learned,
+    observations,
     query,
     rollouts,
     rules,
@@ -91,34 +91,36 @@
         zone: str,
         options: Options,
         gossiper: gossip.Gossiper,
-        claim_desk: claims.ClaimDesk | None,
+        claim_manager: claims.ClaimManager | None,
         events: timeline.Timeline,
         blocks: blocklist.Blocklist | None = None,
     ) -> None:
         self.blocks = blocklist.Blocklist() if blocks is None else blocks
         self.blocks.on_change(self._spread_blocks)
-        self.guard = guard.Guard(self.blocks, events)
+        self.content_blocker = content_blocker.ContentBlocker(
+            self.blocks, events
+        )
         self.in_force: acceptance.InForce | None = None
         self.timeline = events
         self.shards: dict[message.ShardKey, shard.ShardOwner] = {}
         self.view = peer_message.View([], [])
         self.on_new_backends: Callable[[], None] = _do_nothing
-        self.rollouts = rollouts.RolloutDesk(lambda: self.shards.values())
+        self.rollouts = rollouts.RolloutManager(lambda: self.shards.values())
         self._address = address
         self._zone = zone
         self._options = options
         self._gossiper = gossiper
-        self._claims = claim_desk
+        self._claim_manager = claim_manager
         self._limits = limit.Limits({}) if options.shares_limits else None
-        self._attached = attached_processes.AttachedProcesses()
-        self._learned = learned.LearnedBook()
+        self._attached = attached_process.AttachedProcesses()
+        self._observations = observations.BackendObservations()
         self._leaving_listed: frozenset[str] = frozenset()
         self._leaving_said: set[str] = set()
         self._empty_since: dict[message.ShardKey, float] = {}
         self._summaries_at = 0.0
         self._lowest = 0
         self._owned: dict[str, bool] = {}
-        self._queries = query.EventQueries()
+        self._queries = query.TimelineQueries()
         self._has_work = anyio.Event()
         self._mailbox = mailbox.Mailbox(
             lambda posted: self._handle(posted, steadyclock.read())
@@ -146,7 +148,7 @@
             )
         return self._owned[name]
 
-    def list_own_backends(self) -> list[str]:
+    def list_owned_backends(self) -> list[str]:
         """Returns the backend servers that this scheduler polls."""
         return [
             name
@@ -155,7 +157,7 @@
             for name in owner.fleet.backends
         ]
 
-    def list_attached(self) -> list[attached_processes.Attached]:
+    def list_attached(self) -> list[attached_process.AttachedProcess]:
         """Returns the attached processes."""
         return [attached for _, attached in self._attached]
 
@@ -170,11 +172,11 @@
 
     def _handle(self, posted: Any, now: float) -> None:
         match posted:
-            case event.Received(session, body):
+            case event.MessageReceived(session, body):
                 self._receive_from(session, body, now)
-            case event.Opened(session):
+            case event.SessionOpened(session):
                 self._attached.open(session)
-            case event.Closed(session):
+            case event.SessionClosed(session):
                 self._close(session, now)
             case event.BundleChanged(in_force):
                 self._take_bundle(in_force)
@@ -182,24 +184,24 @@
             case event.ViewChanged(view):
                 self._take_view(view)
                 self._open_own_shards(now)
-            case event.LowestChanged(generation):
+            case event.LowestGenerationChanged(generation):
                 self._lowest = generation
                 for session, attached in self._attached:
                     if attached.hello.kind == "controller":
                         session.send(peer_message.LowestGeneration(generation))
-            case event.Reported(name, report):
+            case event.LoadReported(name, report):
                 self._take_report(name, report)
             case event.CacheChanged(name, changes):
                 self._take_cache_changes(name, changes)
-            case event.LeavingListed(names):
+            case event.LeavingBackendsListed(names):
                 self._leaving_listed = names
                 self._mark_leaving()
-            case event.Decided(session, decision):
+            case event.ClaimDecided(session, decision):
                 session.send(decision)
-            case event.EventsWanted():
+            case event.TimelineRequested():
                 self._ask_for_events(posted)
 
-    def _ask_for_events(self, wanted: event.EventsWanted) -> None:
+    def _ask_for_events(self, wanted: event.TimelineRequested) -> None:
         vm = self._gossiper.membership.me.vm
         asked = [
             session
@@ -223,7 +225,7 @@
                 for owner in self.shards.values():
                     self._send_out(owner.receive(entry, body, now))
             case message.SpeedLearned(name):
-                self._learned.speeds[name] = body
+                self._observations.speeds[name] = body
                 for owner in self.shards.values():
                     owner.receive(attached.hello.name, body, now)
             case message.ServerHints():
@@ -238,7 +240,7 @@
             ):
                 self._pass_to_holder(attached, body, now)
             case peer_message.TimelineEvents():
-                self._queries.hand_on(session, body)
+                self._queries.forward_answer(session, body)
             case peer_message.BlockedContents(blocks):
                 new = self.blocks.take(blocks, now)
                 blocked.log_taken(new, attached.hello.name)
@@ -246,25 +248,25 @@
                 attached.generation = generation
             case peer_message.LeaseReport(held):
                 attached.holds_lease = held
-            case _ if self._claims is None:
+            case _ if self._claim_manager is None:
                 LOG.warning(
                     "no claims are kept here",
                     extra={"message_type": type(body).__name__},
                 )
             case peer_message.ClaimKey():
-                self._claims.post(event.Wanted(session, body))
+                self._claim_manager.post(event.ClaimRequested(session, body))
             case peer_message.ReleaseKey():
-                self._claims.post(event.Unwanted(body))
+                self._claim_manager.post(event.ClaimReleased(body))
             case peer_message.FinishKey():
-                self._claims.post(event.Finished(body))
+                self._claim_manager.post(event.ClaimFinished(body))
 
     def _take_server_hints(
         self,
-        attached: attached_processes.Attached,
+        attached: attached_process.AttachedProcess,
         hints: message.ServerHints,
         now: float,
     ) -> None:
-        self._learned.take_hints(hints, attached.hello.name, now)
+        self._observations.take_hints(hints, attached.hello.name, now)
         for owner in self.shards.values():
             self._send_out(owner.receive(attached.hello.name, hints, now))
 
@@ -300,7 +302,7 @@
         return peer_message.View([], [])
 
     def _close(self, session: peer_link.Session, now: float) -> None:
-        self._queries.drop(session)
+        self._queries.drop_session(session)
         lost = self._attached.remove(session)
         if lost is None:
             return
@@ -309,13 +311,13 @@
 
     def _pass_to_shard(
         self,
-        attached: attached_processes.Attached,
+        attached: attached_process.AttachedProcess,
         key: message.ShardKey,
         body: message.EntryMessage,
         now: float,
     ) -> None:
         if isinstance(body, message.Enqueue):
-            reject = self.guard.check(body.request, now)
+            reject = self.content_blocker.check(body.request, now)
             if reject is not None:
                 self._send_out(
                     [owner_effect.ToEntry(attached.hello.name, reject)]
@@ -336,7 +338,7 @@
 
     def _confirm(
         self,
-        attached: attached_processes.Attached,
+        attached: attached_process.AttachedProcess,
         owner: shard.ShardOwner,
         request_id: str,
     ) -> None:
@@ -349,13 +351,13 @@
 
     def _pass_to_holder(
         self,
-        attached: attached_processes.Attached,
-        body: guard.OfHolder,
+        attached: attached_process.AttachedProcess,
+        body: content_blocker.RequestUpdate,
         now: float,
     ) -> None:
         for owner in self.shards.values():
             if owner.holds(body.request_id):
-                self.guard.learn(owner, body, now)
+                self.content_blocker.learn(owner, body, now)
                 out = owner.receive(attached.hello.name, body, now)
                 self._send_out(out)
                 return
@@ -419,15 +421,15 @@
             key,
             self._address,
             rules.make_rules(bundle, key),
-            rules.list_infos(bundle, key),
+            rules.list_backend_infos(bundle, key),
             policy.make_policy(self._options.policy),
             now,
             self._options.report_grace_s,
             self._limits,
-            self._learned.speeds,
-            self.guard.evidence.is_suspect,
+            self._observations.speeds,
+            self.content_blocker.detector.is_suspect,
         )
-        for entry, hints in self._learned.list_hints(now):
+        for entry, hints in self._observations.list_hints(now):
             owner.fleet.take_hints(hints, entry, now)
         self.shards[key] = owner
         self._apply_rollout(key, owner)
@@ -438,7 +440,9 @@
     def _take_bundle(self, in_force: acceptance.InForce) -> None:
         self.in_force = in_force
         bundle = in_force.bundle
-        self._learned.discard_except(bundle.backend_servers, steadyclock.read())
+        self._observations.discard_except(
+            bundle.backend_servers, steadyclock.read()
+        )
         update = peer_message.BundleUpdate(in_force.envelope)
         for session, _ in self._attached:
             if self._options.sends_bundle:
@@ -448,7 +452,8 @@
                 del self.shards[key]
                 continue
             owner.configure(
-                rules.make_rules(bundle, key), rules.list_infos(bundle, key)
+                rules.make_rules(bundle, key),
+                rules.list_backend_infos(bundle, key),
             )
             self._apply_rollout(key, owner)
         self._mark_leaving()
@@ -461,16 +466,16 @@
     ) -> None:
         assert self.in_force is not None
         order = self.in_force.bundle.rollouts.get(key.service)
-        self.rollouts.apply(owner, order, self.owns(key))
+        self.rollouts.set_order(owner, order, self.owns(key))
 
     def _take_view(self, view: peer_message.View) -> None:
         former = {m.vm for m in self.view.members}
         self.view = view
         self._owned.clear()
         self._divide_limits()
-        if self._claims is not None:
+        if self._claim_manager is not None:
             partitions = self._list_partitions()
-            self._claims.post(event.PartitionsChanged(partitions))
+            self._claim_manager.post(event.PartitionsChanged(partitions))
         for session, attached in self._attached:
             if self._is_local(attached.hello):
                 session.send(view)
@@ -551,10 +556,10 @@
 
     def _tick(self, now: float) -> None:
         for key, owner in self.shards.items():
-            self.rollouts.go_on(owner, self.owns(key), now)
+            self.rollouts.advance(owner, self.owns(key), now)
             self._send_out(owner.tick(now))
             for entry, count in owner.list_waiting_entries().items():
-                silence_s = self._attached.get_silence(entry, now)
+                silence_s = self._attached.get_idle_time(entry, now)
                 if silence_s >= STILL_WAITING_S:
                     self._tell_entry(entry, message.StillWaiting(count))
         if now - self._summaries_at >= SUMMARY_EVERY_S:
--- a/ramptray/scheduler/main.py
+++ b/ramptray/scheduler/main.py
@@ -54,13 +54,15 @@
         client,
         rng,
         lambda view: owner.post(event.ViewChanged(view)),
-        lambda lowest: owner.post(event.LowestChanged(lowest)),
+        lambda lowest: owner.post(event.LowestGenerationChanged(lowest)),
         follow.fetch,
         follow,
     )
-    desk = claims.ClaimDesk(
+    desk = claims.ClaimManager(
         log,
-        lambda session, decision: owner.post(event.Decided(session, decision)),
+        lambda session, decision: owner.post(
+            event.ClaimDecided(session, decision)
+        ),
     )
     owner = hub.Hub(
         settings.listen,
--- a/ramptray/scheduler/learned.py
+++ b/ramptray/scheduler/observations.py
@@ -12,7 +12,7 @@
 LOG = logging.getLogger(__name__)
 
 
-class LearnedBook:
+class BackendObservations:
     """Keeps the newest speed and hints of each backend server.
 
     Attributes:
--- a/ramptray/scheduler/poller.py
+++ b/ramptray/scheduler/poller.py
@@ -73,14 +73,14 @@
             for vm in listed
             if vm.role == "backend" and vm.state is vmlist.VmState.LEAVING
         )
-        self._hub.post(event.LeavingListed(leaving))
+        self._hub.post(event.LeavingBackendsListed(leaving))
 
     async def _poll_engines(self) -> None:
         in_force = self._hub.in_force
         if in_force is None:
             return
         async with anyio.create_task_group() as tasks:
-            for name in self._hub.list_own_backends():
+            for name in self._hub.list_owned_backends():
                 server = in_force.bundle.backend_servers.get(name)
                 if server is not None:
                     tasks.start_soon(
@@ -94,9 +94,9 @@
             try:
                 report = await self._client.fetch_load(url)
             except engine_client.EngineError:
-                self._hub.post(event.Reported(name, None))
+                self._hub.post(event.LoadReported(name, None))
                 return
-            self._hub.post(event.Reported(name, report))
+            self._hub.post(event.LoadReported(name, report))
             if _is_model(bundle, name):
                 await self._poll_cache(name, url)
 
--- a/ramptray/scheduler/query.py
+++ b/ramptray/scheduler/query.py
@@ -17,7 +17,7 @@
 _Answers = memory.MemoryObjectSendStream[peer_message.TimelineEvents]
 
 
-class EventQueries:
+class TimelineQueries:
     """Passes each question on and hands its answers back.
 
     The stream of a question's answers closes with the last of those asked.
@@ -28,7 +28,9 @@
         self._open: dict[tuple[int, peer_link.Session], _Answers] = {}
 
     def ask(
-        self, wanted: event.EventsWanted, asked: Iterable[peer_link.Session]
+        self,
+        wanted: event.TimelineRequested,
+        asked: Iterable[peer_link.Session],
     ) -> None:
         """Asks some attached processes."""
         number = next(self._numbers)
@@ -38,7 +40,7 @@
             session.send(question)
         wanted.answers.close()
 
-    def hand_on(
+    def forward_answer(
         self, session: peer_link.Session, events: peer_message.TimelineEvents
     ) -> None:
         """Takes the answer of a process."""
@@ -47,7 +49,7 @@
             with contextlib.suppress(anyio.BrokenResourceError), answers:
                 answers.send_nowait(events)
 
-    def drop(self, session: peer_link.Session) -> None:
+    def drop_session(self, session: peer_link.Session) -> None:
         """Notes that a process has gone and answers nothing any more."""
         for key in [key for key in self._open if key[1] is session]:
             self._open.pop(key).close()
--- a/ramptray/scheduler/rollouts.py
+++ b/ramptray/scheduler/rollouts.py
@@ -14,11 +14,11 @@
 
 LOG = logging.getLogger(__name__)
 
-PAUSE_S = 0.5
+RETRY_DELAY_S = 0.5
 """Pause before a verdict is tried to be kept again, in seconds."""
 
 
-class VerdictBook:
+class VerdictStore:
     """The newest verdict on each service's rollout.
 
     Final verdicts are told to other VMs; what the log keeps goes before what a
@@ -41,7 +41,7 @@
         """Returns the verdicts that other VMs are to know of."""
         return [v for v in self._verdicts.values() if v.state.is_final]
 
-    def take(self, found: Iterable[rollout.Verdict]) -> None:
+    def merge(self, found: Iterable[rollout.Verdict]) -> None:
         """Takes verdicts of this VM, of others, or of the log."""
         for verdict in found:
             if not verdict.goes_before(self._verdicts.get(verdict.service)):
@@ -52,7 +52,7 @@
                 listener(verdict)
 
 
-class RolloutDesk:
+class RolloutManager:
     """Applies rollouts to the shards that are open here.
 
     Args:
@@ -66,12 +66,12 @@
     def __init__(
         self, list_owners: Callable[[], Iterable[shard.ShardOwner]]
     ) -> None:
-        self.verdicts = VerdictBook()
+        self.verdicts = VerdictStore()
         self.verdicts.on_change(self._take_verdict)
         self.on_verdict: Callable[[rollout.Verdict], None] = _ignore_verdict
         self._list_owners = list_owners
 
-    def apply(
+    def set_order(
         self,
         owner: shard.ShardOwner,
         order: rollout.Order | None,
@@ -88,9 +88,9 @@
         known = self.verdicts.get(owner.shard.service)
         owner.releases.set_order(order, known)
         if is_owned:
-            self._tell(owner)
+            self._publish_verdict(owner)
 
-    def go_on(
+    def advance(
         self, owner: shard.ShardOwner, is_owned: bool, now: float
     ) -> None:
         """Goes on with a shard's rollout, if there is one.
@@ -100,14 +100,14 @@
         """
         if is_owned:
             owner.releases.decide(now)
-        self._tell(owner)
+        self._publish_verdict(owner)
 
-    def _tell(self, owner: shard.ShardOwner) -> None:
+    def _publish_verdict(self, owner: shard.ShardOwner) -> None:
         if owner.releases.rollout is None:
             return
         verdict = owner.releases.rollout.tell()
         if verdict.goes_before(self.verdicts.get(verdict.service)):
-            self.verdicts.take([verdict])
+            self.verdicts.merge([verdict])
             self.on_verdict(verdict)
 
     def _take_verdict(self, verdict: rollout.Verdict) -> None:
@@ -117,7 +117,7 @@
                 found.learn(verdict)
 
 
-class VerdictKeeper:
+class VerdictWriter:
     """Keeps what this VM decides, as soon as the log takes it.
 
     Args:
@@ -125,13 +125,13 @@
         book: What this VM knows.
     """
 
-    def __init__(self, kept: verdictlog.VerdictLog, book: VerdictBook) -> None:
+    def __init__(self, kept: verdictlog.VerdictLog, book: VerdictStore) -> None:
         self._kept = kept
-        self._book = book
+        self._store = book
         self._wanted: dict[str, rollout.Verdict] = {}
         self._has_wanted = anyio.Event()
 
-    def keep(self, verdict: rollout.Verdict) -> None:
+    def enqueue(self, verdict: rollout.Verdict) -> None:
         """Has a verdict kept; the newest of a service replaces others."""
         self._wanted[verdict.service] = verdict
         self._has_wanted.set()
@@ -154,13 +154,13 @@
                 "verdict not kept yet",
                 extra={"service": service, "detail": str(error)},
             )
-            await anyio.sleep(PAUSE_S)
+            await anyio.sleep(RETRY_DELAY_S)
             self._has_wanted.set()
             return
         if self._wanted.get(service) is verdict:
             del self._wanted[service]
         LOG.info("verdict kept", extra=msgspec.to_builtins(kept))
-        self._book.take([msgspec.structs.replace(kept, is_kept=True)])
+        self._store.merge([msgspec.structs.replace(kept, is_kept=True)])
 
 
 def _ignore_verdict(verdict: rollout.Verdict) -> None:
--- a/ramptray/scheduler/rules.py
+++ b/ramptray/scheduler/rules.py
@@ -33,13 +33,13 @@
     )
 
 
-def list_infos(
+def list_backend_infos(
     bundle: model.Bundle, key: message.ShardKey
 ) -> list[backend.BackendInfo]:
     """Returns the backend servers of a shard that may get new work."""
     shards = bundle.services[key.service].shards
     return [
-        make_info(bundle, name)
+        make_backend_info(bundle, name)
         for name, server in bundle.backend_servers.items()
         if server.zone == key.zone
         and server.service == key.service
@@ -48,7 +48,7 @@
     ]
 
 
-def make_info(bundle: model.Bundle, name: str) -> backend.BackendInfo:
+def make_backend_info(bundle: model.Bundle, name: str) -> backend.BackendInfo:
     """Returns what an owner needs to know of a backend server."""
     server = bundle.backend_servers[name]
     engine = bundle.engines[server.engine]
--- a/ramptray/scheduler/servant.py
+++ b/ramptray/scheduler/servant.py
@@ -35,15 +35,15 @@
 
     async def open(self, session: peer_link.Session) -> None:
         """See the base class."""
-        self._hub.post(event.Opened(session))
+        self._hub.post(event.SessionOpened(session))
 
     async def receive(self, session: peer_link.Session, body: Any) -> None:
         """See the base class."""
-        self._hub.post(event.Received(session, body))
+        self._hub.post(event.MessageReceived(session, body))
 
     async def close(self, session: peer_link.Session) -> None:
         """See the base class."""
-        self._hub.post(event.Closed(session))
+        self._hub.post(event.SessionClosed(session))
 
     async def answer(self, question: Any) -> Any:
         """See the base class."""
@@ -88,7 +88,7 @@
         send, receive = anyio.create_memory_object_stream[
             peer_message.TimelineEvents
         ](ATTACHED)
-        self._hub.post(event.EventsWanted(question, send))
+        self._hub.post(event.TimelineRequested(question, send))
         with anyio.move_on_after(COLLECT_S):
             async for answer in receive:
                 events.extend(answer.events)
--- a/test/hinting.py
+++ b/test/hinting.py
@@ -40,7 +40,7 @@
 """Time around a fault of a link in which answers may be lost, in seconds."""
 
 
-class Hinter:
+class HintInjector:
     """Has replicas turn requests away, and one of them leave.
 
     Args:
--- a/test/soak.py
+++ b/test/soak.py
@@ -96,7 +96,9 @@
         )
         names = sorted(started.replicas)
         self._limiter = limiting.Limiter(self._harm, random.Random(seed), names)
-        self._hinter = hinting.Hinter(self._harm, random.Random(seed), names)
+        self._hinter = hinting.HintInjector(
+            self._harm, random.Random(seed), names
+        )
 
     def perform(self) -> list[promise.Promise]:
         """Runs load and faults, and returns what was kept and broken."""
--- a/test/test_claims.py
+++ b/test/test_claims.py
@@ -45,16 +45,16 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The attempt may hold the key by another scheduler's word, and run."""
-    monkeypatch.setattr(claims, "DOWN_S", 0.1)
+    monkeypatch.setattr(claims, "CLAIM_TIMEOUT_S", 0.1)
     log = BrokenLog()
     send, decisions = anyio.create_memory_object_stream[str](10)
-    desk = claims.ClaimDesk(
+    desk = claims.ClaimManager(
         log, lambda _, decision: send.send_nowait(decision.verdict)
     )
     wish = peer_message.ClaimKey("key", "attempt", "digest")
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(desk.run)
-        desk.post(event.Wanted(peer_link.Session(), wish))
+        desk.post(event.ClaimRequested(peer_link.Session(), wish))
         with anyio.fail_after(LONG_S):
             verdict = await decisions.receive()
         assert verdict == claim.Verdict.UNAVAILABLE.value
@@ -63,7 +63,9 @@
             while len(log.records) < count + 3:
                 await anyio.sleep(0.01)
         assert {r["kind"] for r in log.records} == {"claim"}
-        desk.post(event.Unwanted(peer_message.ReleaseKey("key", "attempt")))
+        desk.post(
+            event.ClaimReleased(peer_message.ReleaseKey("key", "attempt"))
+        )
         with anyio.fail_after(LONG_S):
             while log.records[-1]["kind"] != "release":
                 await anyio.sleep(0.01)
@@ -110,7 +112,7 @@
     # answered and told the caller after two seconds that the log was down.
     log = LosingLog()
     send, decisions = anyio.create_memory_object_stream[str](10)
-    desk = claims.ClaimDesk(
+    desk = claims.ClaimManager(
         log, lambda _, decision: send.send_nowait(decision.verdict)
     )
     wish = peer_message.ClaimKey("key", "attempt", "digest")
@@ -118,7 +120,7 @@
         tasks.start_soon(desk.run)
         desk.post(event.PartitionsChanged(frozenset({0, 1, 2, 3})))
         await anyio.sleep(0.2)
-        desk.post(event.Wanted(peer_link.Session(), wish))
+        desk.post(event.ClaimRequested(peer_link.Session(), wish))
         with anyio.fail_after(LONG_S):
             verdict = await decisions.receive()
         tasks.cancel_scope.cancel()
--- a/test/test_evacuation.py
+++ b/test/test_evacuation.py
@@ -35,7 +35,7 @@
 
 def list_candidates(book: evacuation.EvacuationBook) -> set[str]:
     """Returns what an owner would grant."""
-    infos = rules.list_infos(make_bundle(book), test_replicas.SHARD)
+    infos = rules.list_backend_infos(make_bundle(book), test_replicas.SHARD)
     return {info.name for info in infos}
 
 
--- a/test/test_regions.py
+++ b/test/test_regions.py
@@ -110,7 +110,7 @@
     bundle = follower.add_replicas(
         declared, book.list_replicas(), regions=REGIONS
     )
-    infos = rules.list_infos(bundle, test_replicas.SHARD)
+    infos = rules.list_backend_infos(bundle, test_replicas.SHARD)
     assert {i.name: i.region for i in infos} == {
         f"i-{zone}": region for zone, region in REGIONS.items()
     }
--- a/test/test_replicas.py
+++ b/test/test_replicas.py
@@ -59,7 +59,7 @@
     """Returns what an owner would grant, by the whole path from the store."""
     declared = config.parse_config(json.dumps(node.make_config(1)))
     bundle = follower.add_replicas(declared, book.list_replicas())
-    return {info.name for info in rules.list_infos(bundle, SHARD)}
+    return {info.name for info in rules.list_backend_infos(bundle, SHARD)}
 
 
 # A replica that starts again.
@@ -128,7 +128,7 @@
         SHARD,
         "owner:1",
         rules.make_rules(bundle, SHARD),
-        rules.list_infos(bundle, SHARD),
+        rules.list_backend_infos(bundle, SHARD),
         policy.TokenPolicy(),
         0.0,
         0.0,
@@ -139,7 +139,7 @@
     declared = config.parse_config(json.dumps(node.make_config(1)))
     bundle = follower.add_replicas(declared, book.list_replicas())
     owner.configure(
-        rules.make_rules(bundle, SHARD), rules.list_infos(bundle, SHARD)
+        rules.make_rules(bundle, SHARD), rules.list_backend_infos(bundle, SHARD)
     )
 
 
--- a/test/test_rollout.py
+++ b/test/test_rollout.py
@@ -225,14 +225,14 @@
 
 
 def test_a_verdict_travels_between_schedulers() -> None:
-    book = rollouts.VerdictBook()
+    book = rollouts.VerdictStore()
     told: list[rollout.Verdict] = []
     book.on_change(told.append)
     verdict = rollout.Verdict("lm", "v2", rollout.State.ROLLED_BACK, "why")
-    book.take([rollout.Verdict("lm", "v2", rollout.State.RUNNING)])
+    book.merge([rollout.Verdict("lm", "v2", rollout.State.RUNNING)])
     assert book.list_final() == []
     for _ in range(2):
-        book.take([verdict])
+        book.merge([verdict])
     assert told[1:] == [verdict]
     assert book.list_final() == [verdict]
 
@@ -262,13 +262,13 @@
 ) -> None:
     found = kept and rollout.Verdict("lm", "v2", kept)
     log = MemoryLog(found, failures=2)
-    book = rollouts.VerdictBook()
-    keeper = rollouts.VerdictKeeper(log, book)
+    book = rollouts.VerdictStore()
+    keeper = rollouts.VerdictWriter(log, book)
     mine = rollout.Verdict("lm", "v2", rollout.State.ROLLED_BACK)
-    book.take([mine])
+    book.merge([mine])
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(keeper.run)
-        keeper.keep(mine)
+        keeper.enqueue(mine)
         with anyio.fail_after(10.0):
             while not getattr(book.get("lm"), "is_kept", False):
                 await anyio.sleep(0.05)
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -9,7 +9,7 @@
 from ramptray.entry import server_hints
 from ramptray.entry import ticket as tickets
 from ramptray.peer import attachment
-from ramptray.scheduler import learned
+from ramptray.scheduler import observations
 from test.test_dispatcher import OTHER, OURS, Desk, anyio_backend, desk
 from test.test_rate_limit import (
     list_grants,
@@ -275,7 +275,7 @@
 
 
 def test_a_new_shard_knows_the_pauses_of_its_vm_s_scheduler() -> None:
-    book = learned.LearnedBook()
+    book = observations.BackendObservations()
     book.take_hints(
         message.ServerHints("s0", 0, 2.0, pause_s=3.0), "entry", 0.0
     )
--- a/test/test_warm_up.py
+++ b/test/test_warm_up.py
@@ -34,7 +34,7 @@
         test_replicas.SHARD,
         "owner:1",
         rules.make_rules(bundle, test_replicas.SHARD),
-        rules.list_infos(bundle, test_replicas.SHARD),
+        rules.list_backend_infos(bundle, test_replicas.SHARD),
         policy.TokenPolicy(),
         0.0,
         0.0,
