--- a/ramptray/node/main.py
+++ b/ramptray/node/main.py
@@ -107,7 +107,7 @@
         self._block_sync = block_sync.BlockSync(
             platform_blocks.TopicBlockLog(self._store),
             self._blocks,
-            loads=not given.first_start,
+            load_at_start=not given.first_start,
         )
         self._store.on_older_copy(self._block_sync.save_all)
         self._gossiper = self._make_gossiper()
--- a/ramptray/scheduler/block_sync.py
+++ b/ramptray/scheduler/block_sync.py
@@ -16,71 +16,71 @@
 
 LOG = logging.getLogger(__name__)
 
-TRIES = 8
+MAX_ATTEMPTS = 8
 """How often the log is tried for one block, or for all at the start.  With the
 pauses between, that is 46 s: longer outages are over for callers, too."""
 
-FIRST_PAUSE_S = 0.25
-MAX_PAUSE_S = 15.0
-"""Pauses between two tries, in seconds; each is twice the one before."""
+INITIAL_BACKOFF_S = 0.25
+MAX_BACKOFF_S = 15.0
+"""Pauses between two attempts, in seconds; each is twice the one before."""
 
-READ_EVERY_S = 1.0
+MIN_RELOAD_INTERVAL_S = 1.0
 """Shortest time between two reads that crashes ask for, in seconds: in a wave
 of them one is enough, and each call to the platform's store has a price."""
 
-PENDING = 256
+MAX_PENDING_SAVES = 256
 """Blocks that may wait to be kept; more at once are no single requests."""
 
 
 class BlockSync:
-    """Saves what this VM decides, and loads what was decided before its start.
+    """Saves what this VM decides, and loads what was decided before it started.
 
     What other VMs tell is saved by them.
 
     Args:
-        kept: Where blocks are kept.
+        block_log: Where blocks are kept.
         blocks: The blocks that this VM knows of.
-        loads: Whether anything can have been kept before.
+        load_at_start: Whether anything can have been kept before.
         read_clock: Returns the time of day in Unix seconds.
     """
 
     def __init__(
         self,
-        kept: blocklog.BlockLog,
+        block_log: blocklog.BlockLog,
         blocks: blocklist.Blocklist,
-        loads: bool,
+        load_at_start: bool,
         read_clock: Callable[[], float] = time.time,
     ) -> None:
-        self._kept = kept
+        self._block_log = block_log
         self._blocks = blocks
-        self._loads = loads
+        self._load_at_start = load_at_start
         self._read_clock = read_clock
         send, receive = anyio.create_memory_object_stream[blocklist.BlockNews](
-            PENDING
+            MAX_PENDING_SAVES
         )
         self._send: memory.MemoryObjectSendStream[blocklist.BlockNews] = send
         self._receive = receive
-        self._wanted = anyio.Event()
-        blocks.on_decision(self._note)
+        self._reload_requested = anyio.Event()
+        blocks.on_decision(self._enqueue)
 
     async def run(self) -> None:
         """Loads, then saves and reads again until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._run_saves)
-            if self._loads:
+            if self._load_at_start:
                 await self._load()
             while True:
-                await self._wanted.wait()
-                self._wanted = anyio.Event()
+                await self._reload_requested.wait()
+                self._reload_requested = anyio.Event()
                 await self._load(1)
-                await anyio.sleep(READ_EVERY_S)
+                await anyio.sleep(MIN_RELOAD_INTERVAL_S)
 
     def request_reload(self) -> None:
         """Has the log read, since a backend server has ended.
 
         Beyond a cut, or before a restart, somebody may have found out why.
         """
-        self._wanted.set()
+        self._reload_requested.set()
 
     async def _run_saves(self) -> None:
         async for news in self._receive:
@@ -88,29 +88,29 @@
 
     def save_all(self) -> None:
         """Saves all blocks, as the log may have lost some."""
-        self._note(self._blocks.list_news(steadyclock.read()))
+        self._enqueue(self._blocks.list_news(steadyclock.read()))
 
-    def _note(self, news: list[blocklist.BlockNews]) -> None:
+    def _enqueue(self, news: list[blocklist.BlockNews]) -> None:
         for each in news:
             try:
                 self._send.send_nowait(each)
             except anyio.WouldBlock:
                 LOG.warning("block not kept", extra={"content": each.content})
 
-    async def _load(self, tries: int = TRIES) -> None:
-        pause_s = FIRST_PAUSE_S
-        for _ in range(tries):
+    async def _load(self, attempts: int = MAX_ATTEMPTS) -> None:
+        backoff_s = INITIAL_BACKOFF_S
+        for _ in range(attempts):
             try:
-                found = await self._kept.load()
+                found = await self._block_log.load()
             except log_error.LogError as error:
                 LOG.warning("blocks not read", extra={"detail": str(error)})
-                await anyio.sleep(pause_s)
-                pause_s = min(2 * pause_s, MAX_PAUSE_S)
+                await anyio.sleep(backoff_s)
+                backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
                 continue
-            self._take(found)
+            self._merge(found)
             return
 
-    def _take(self, found: list[blocklog.StoredBlock]) -> None:
+    def _merge(self, found: list[blocklog.StoredBlock]) -> None:
         now = self._read_clock()
         news = [
             blocklist.BlockNews(
@@ -133,17 +133,17 @@
             news.crashes,
             news.lifted,
         )
-        pause_s = FIRST_PAUSE_S
-        for _ in range(TRIES):
+        backoff_s = INITIAL_BACKOFF_S
+        for _ in range(MAX_ATTEMPTS):
             try:
-                await self._kept.save(stored)
+                await self._block_log.save(stored)
             except log_error.LogError as error:
                 LOG.warning(
                     "block not kept yet",
                     extra={"content": news.content, "detail": str(error)},
                 )
-                await anyio.sleep(pause_s)
-                pause_s = min(2 * pause_s, MAX_PAUSE_S)
+                await anyio.sleep(backoff_s)
+                backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
                 continue
             LOG.info("block kept", extra={"content": news.content})
             return
--- a/ramptray/scheduler/contact.py
+++ b/ramptray/scheduler/contact.py
@@ -27,7 +27,7 @@
             for member in members.values()
         ]
 
-    def note(self, member: membership.Member) -> None:
+    def update(self, member: membership.Member) -> None:
         """Takes what was told of a scheduler of any zone."""
         if member.zone == self._zone:
             return
@@ -41,7 +41,7 @@
         while len(contacts) > CONTACTS_PER_ZONE:
             contacts.pop(next(iter(contacts)))
 
-    def drop(self, address: str) -> None:
+    def remove_address(self, address: str) -> None:
         """Forgets whoever did not answer at an address."""
         for contacts in self._zones.values():
             for vm, member in list(contacts.items()):
--- a/ramptray/scheduler/distributor.py
+++ b/ramptray/scheduler/distributor.py
@@ -26,64 +26,64 @@
 
 LOG = logging.getLogger(__name__)
 
-WAIT_S = 1.3
+POLL_WAIT_S = 1.3
 """How long a VM waits for news of another one, in seconds: that one hears of
 the log's state once a second, and tells at once."""
 
-ANSWER_S = 0.4
+ANSWER_MARGIN_S = 0.4
 """How much longer than it waits an answer may take, in seconds: 200 KB on a
 link of 5 Mbit/s, or a VM that is short of processor time."""
 
-PAUSE_S = 0.3
+RETRY_PAUSE_S = 0.3
 """Pause after a VM told nothing new, in seconds, so that one that is behind or
 lies is not asked on and on; the other source goes on."""
 
-STALE_S = 1.5
+MAX_AGE_S = 1.5
 """Age of what is known from which on a VM reads the log itself, in seconds:
 readers learn its state once a second, and a change must be in force two seconds
 after it was made."""
 
-TURN_S = 0.1
+TAKEOVER_STEP_S = 0.1
 """Time between two VMs of a zone that begin to read the log themselves, in
 seconds: the first ones tell the others."""
 
-MAX_TURN_S = 2.0
+MAX_TAKEOVER_DELAY_S = 2.0
 """Longest time that such a VM leaves to those before it, in seconds."""
 
-OVERDUE_S = 1.2
+SECOND_SOURCE_AGE_S = 1.2
 """Age of what is known from which on the second source is asked too, in
 seconds: the first one tells once a second.  Asking both all the time would
 double the questions of an idle VM."""
 
-LATE_S = 0.1
+SECOND_SOURCE_LAG_S = 0.1
 """How long records that there are may be missing before the second source is
 asked too, in seconds: soon enough that it answers before this VM reads."""
 
-BEHIND_S = 0.4
+MAX_LAG_S = 0.4
 """How long they may be missing before a VM reads the log itself, in seconds: it
 then takes whole values, where another VM tells what has changed.  A replica
 whose record went may be kept for 1.6 s from then on, and must get no more work
 two seconds after."""
 
-FRESHER_S = 0.5
+MIN_AGE_GAIN_S = 0.5
 """By how much knowledge must be younger to be told without a record, in
 seconds: readers learn the log's state once a second."""
 
-LONG_S = 1e6
+UNKNOWN_AGE_S = 1e6
 """Age that is told for knowledge that there is not, in seconds."""
 
-CHECK_S = 0.1
+MIN_CHECK_INTERVAL_S = 0.1
 """Shortest pause between two looks at how old that is, in seconds."""
 
-IDLE_CHECK_S = 1.0
+MAX_CHECK_INTERVAL_S = 1.0
 """Longest such pause, in seconds: nothing is due before."""
 
-FIRST_START_S = 3.0
+FIRST_START_WAIT_S = 3.0
 """How long a VM waits for another one to tell it anything when the whole
 deployment starts for the first time, in seconds: no caller waits yet, and each
 VM reading the log would be most of a quiet day's calls."""
 
-Reader = log_reader.StreamReader[keyedstream.Changes]
+ChangesReader = log_reader.StreamReader[keyedstream.Changes]
 
 
 class LogOutage(msgspec.Struct, frozen=True):
@@ -106,7 +106,7 @@
         mirror: What is held of it.
     """
 
-    reader: Reader
+    reader: ChangesReader
     mirror: mirrors.Mirror
 
 
@@ -138,56 +138,60 @@
         self._me = me
         self._client = client
         self._streams = {each.reader.stream: each for each in streams}
-        self._place: tree.Place | None = None
+        self._position: tree.Place | None = None
         named = list(seeds)
         self._seeds = tuple(s for s in named if s != me.address)
         waits = first_start and me.address not in named and self._seeds
         # Until then nobody misses what is not known yet.
-        self._patient_until = steadyclock.read() + FIRST_START_S * bool(waits)
-        self._told_at = dict.fromkeys(self._streams, float("-inf"))
-        self._wanted: frozenset[str] = frozenset()
-        self._first = ""
-        self._followed: set[str] = set()
-        self._damaged: set[str] = set()
+        self._first_start_until = (
+            steadyclock.read() + FIRST_START_WAIT_S * bool(waits)
+        )
+        self._updated_at = dict.fromkeys(self._streams, float("-inf"))
+        self._wanted_sources: frozenset[str] = frozenset()
+        self._primary_source = ""
+        self._followed_sources: set[str] = set()
+        self._damaged_streams: set[str] = set()
         self._changed = anyio.Event()
-        self._looked = anyio.Event()
+        self._wake_event = anyio.Event()
         for each in streams:
-            each.reader.on_answer = self._wake
+            each.reader.on_answer = self._notify_followers
 
     async def run(self) -> None:
         """Follows until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                self._follow_sources(tasks)
+                self._start_following(tasks)
                 now = steadyclock.read()
-                self._choose_watching(now)
-                await self._pause(self._get_next_due() - now)
+                self._update_watching(now)
+                await self._wait_until_due(self._get_next_check_at() - now)
 
     def wake(self) -> None:
         """Has this VM look at once at what it follows and whether it reads."""
-        self._looked.set()
-        self._looked = anyio.Event()
+        self._wake_event.set()
+        self._wake_event = anyio.Event()
 
-    async def _pause(self, due_s: float) -> None:
+    async def _wait_until_due(self, due_s: float) -> None:
         """Waits until something is due, or until there is reason to look.
 
         So an idle VM is woken for this some four times a second instead of
         twenty: there are hundreds, and they do little else.
         """
         # A reason that comes during the short pause counts as well.
-        looked = self._looked
-        await anyio.sleep(CHECK_S)
-        with anyio.move_on_after(min(due_s, IDLE_CHECK_S) - CHECK_S):
-            await looked.wait()
+        wake_event = self._wake_event
+        await anyio.sleep(MIN_CHECK_INTERVAL_S)
+        with anyio.move_on_after(
+            min(due_s, MAX_CHECK_INTERVAL_S) - MIN_CHECK_INTERVAL_S
+        ):
+            await wake_event.wait()
 
     def update_members(self, members: Iterable[membership.Member]) -> None:
         """Takes the VMs that are alive."""
         others = [m for m in members if m.vm != self._me.vm]
         # Alone, it may just not have met the others yet.
         place = tree.find_place(self._me, others) if others else None
-        if place == self._place:
+        if place == self._position:
             return
-        self._place = place
+        self._position = place
         self.wake()
         LOG.info(
             "place in the distribution",
@@ -202,7 +206,7 @@
         """Returns what another VM lacks, as soon as there is anything."""
         known_at = steadyclock.read() - asked.known_s
         with anyio.move_on_after(asked.wait_s):
-            while not self._has_news(asked, known_at):
+            while not self._has_updates(asked, known_at):
                 await self._changed.wait()
         now = steadyclock.read()
         outage = self.get_outage(now)
@@ -220,12 +224,12 @@
             told.append(news)
         return peer_message.ToldStreams(told)
 
-    def _wake(self) -> None:
+    def _notify_followers(self) -> None:
         """Has those answered that wait for news."""
         self._changed.set()
         self._changed = anyio.Event()
 
-    def _has_news(
+    def _has_updates(
         self, asked: peer_message.FollowStreams, known_at: float
     ) -> bool:
         """Returns whether an answer is due.
@@ -234,28 +238,28 @@
             asked: What was asked.
             known_at: As of when the asker knows the log.
         """
-        if self._get_known_at() > known_at + FRESHER_S:
+        if self._get_fresh_at() > known_at + MIN_AGE_GAIN_S:
             return True
         return any(
             (each.reader.end or 0) > asked.ends.get(name, -1)
             for name, each in self._streams.items()
         )
 
-    def _get_known_at(self) -> float:
+    def _get_fresh_at(self) -> float:
         """Returns as of when the log is known here."""
         return min(each.reader.fresh_at for each in self._streams.values())
 
     # Following others.
 
-    def _follow_sources(self, tasks: anyio.abc.TaskGroup) -> None:
+    def _start_following(self, tasks: anyio.abc.TaskGroup) -> None:
         """Begins and ends following, by this VM's place."""
         wanted = self._seeds[: tree.SOURCES]
-        if self._place is not None:
-            wanted = self._place.sources
-        self._wanted = frozenset(wanted)
-        self._first = next(iter(wanted), "")
-        for address in self._wanted - self._followed:
-            self._followed.add(address)
+        if self._position is not None:
+            wanted = self._position.sources
+        self._wanted_sources = frozenset(wanted)
+        self._primary_source = next(iter(wanted), "")
+        for address in self._wanted_sources - self._followed_sources:
+            self._followed_sources.add(address)
             tasks.start_soon(self._follow, address)
 
     async def _follow(self, address: str) -> None:
@@ -263,28 +267,28 @@
 
         Those beside the first one are asked while it tells nothing.
 
-        The last question is not cancelled: that would leave the channel's own
+        The last request is not cancelled: that would leave the channel's own
         cancellation behind, which no scope here takes for its own.
         """
-        while address in self._wanted:
-            due_s = self._get_overdue_in()
-            if address != self._first and due_s > 0:
-                await self._pause(due_s)
-            elif not await self.fetch_updates(address, WAIT_S):
-                await anyio.sleep(PAUSE_S)
-        self._followed.discard(address)
-
-    def _get_overdue_in(self) -> float:
+        while address in self._wanted_sources:
+            due_s = self._get_second_source_delay_s()
+            if address != self._primary_source and due_s > 0:
+                await self._wait_until_due(due_s)
+            elif not await self.fetch_updates(address, POLL_WAIT_S):
+                await anyio.sleep(RETRY_PAUSE_S)
+        self._followed_sources.discard(address)
+
+    def _get_second_source_delay_s(self) -> float:
         """Returns in how many seconds the first source has told too little."""
         now = steadyclock.read()
-        told_at = min(self._told_at.values())
-        due = told_at + OVERDUE_S
-        lack_s = self._get_lack_s(now)
-        if lack_s > 0:
-            due = min(due, now - lack_s + LATE_S)
+        updated_at = min(self._updated_at.values())
+        due = updated_at + SECOND_SOURCE_AGE_S
+        lag_s = self._get_lag_s(now)
+        if lag_s > 0:
+            due = min(due, now - lag_s + SECOND_SOURCE_LAG_S)
         return due - now
 
-    def _get_lack_s(self, now: float) -> float:
+    def _get_lag_s(self, now: float) -> float:
         """Returns for how long records have been missing here, in seconds."""
         return max(e.reader.get_lack_s(now) for e in self._streams.values())
 
@@ -298,31 +302,33 @@
         Returns:
             Whether it told anything that is new.
         """
-        question = self._make_question(wait_s)
+        request = self._make_request(wait_s)
         try:
-            told = await self._client.ask(address, question, wait_s + ANSWER_S)
+            told = await self._client.ask(
+                address, request, wait_s + ANSWER_MARGIN_S
+            )
         except peer_link.LinkError as error:
             LOG.debug("no news from another VM: %s", error)
             return False
         received_at = steadyclock.read()
         taken = [
-            await self._take(address, news, received_at) for news in told.news
+            await self._apply(address, news, received_at) for news in told.news
         ]
         return any(taken)
 
-    def _make_question(self, wait_s: float) -> peer_message.FollowStreams:
+    def _make_request(self, wait_s: float) -> peer_message.FollowStreams:
         ends = {
             name: -1
-            if each.reader.end is None or name in self._damaged
+            if each.reader.end is None or name in self._damaged_streams
             else each.reader.end
             for name, each in self._streams.items()
         }
         # What this VM reads itself says nothing of those that it follows.
-        told_at = min(self._told_at.values())
-        known_s = min(steadyclock.read() - told_at, LONG_S)
+        updated_at = min(self._updated_at.values())
+        known_s = min(steadyclock.read() - updated_at, UNKNOWN_AGE_S)
         return peer_message.FollowStreams(ends, known_s, wait_s)
 
-    async def _take(
+    async def _apply(
         self, address: str, news: peer_message.StreamNews, received_at: float
     ) -> bool:
         """Takes news of a stream; tells whether they are new."""
@@ -332,57 +338,61 @@
         try:
             changes = each.mirror.unpack(news)
         except mirrors.MirrorError as error:
-            self._note_damage(address, news.stream, str(error))
+            self._record_damage(address, news.stream, str(error))
             return False
-        self._damaged.discard(news.stream)
+        self._damaged_streams.discard(news.stream)
         self.on_outage(LogOutage(news.trouble_s, news.returned_s))
         fresh_at = received_at - max(0.0, news.age_s)
         await each.reader.take_told(changes, news.whole, fresh_at, address)
-        is_new = fresh_at > self._told_at[news.stream]
-        self._told_at[news.stream] = max(self._told_at[news.stream], fresh_at)
-        self._wake()
+        is_new = fresh_at > self._updated_at[news.stream]
+        self._updated_at[news.stream] = max(
+            self._updated_at[news.stream], fresh_at
+        )
+        self._notify_followers()
         return is_new
 
-    def _note_damage(self, address: str, stream: str, detail: str) -> None:
+    def _record_damage(self, address: str, stream: str, detail: str) -> None:
         """Asks for the whole stream next, by whomever it is told."""
-        if stream not in self._damaged:
+        if stream not in self._damaged_streams:
             LOG.warning(
                 "news of another VM not taken",
                 extra={"peer": address, "stream": stream, "detail": detail},
             )
-        self._damaged.add(stream)
+        self._damaged_streams.add(stream)
 
     # Reading the log.
 
-    def _choose_watching(self, now: float) -> None:
+    def _update_watching(self, now: float) -> None:
         watching = self._should_watch(now)
         for each in self._streams.values():
             each.reader.set_watching(watching)
 
     def _should_watch(self, now: float) -> bool:
         """Returns whether this VM reads the log itself."""
-        place = self._place
-        if now < self._patient_until and (place is None or not place.reads):
+        place = self._position
+        if now < self._first_start_until and (place is None or not place.reads):
             return False
         if place is None or place.reads:
             return True
-        if self._get_lack_s(now) > BEHIND_S:
+        if self._get_lag_s(now) > MAX_LAG_S:
             return True
-        return now > self._get_watching_due()
+        return now > self._get_takeover_at()
 
-    def _get_next_due(self) -> float:
+    def _get_next_check_at(self) -> float:
         """Returns when this VM may have to read the log itself."""
         if any(e.reader.lacks_records for e in self._streams.values()):
             return 0.0
-        return self._get_watching_due()
+        return self._get_takeover_at()
 
-    def _get_watching_due(self) -> float:
+    def _get_takeover_at(self) -> float:
         """Returns when this VM reads the log itself if it is told nothing."""
-        if self._place is None or self._place.reads:
-            return self._patient_until
-        turn_s = min(self._place.turn * TURN_S, MAX_TURN_S)
-        told_at = min(self._told_at.values())
-        return max(told_at, self._patient_until) + STALE_S + turn_s
+        if self._position is None or self._position.reads:
+            return self._first_start_until
+        turn_s = min(
+            self._position.turn * TAKEOVER_STEP_S, MAX_TAKEOVER_DELAY_S
+        )
+        updated_at = min(self._updated_at.values())
+        return max(updated_at, self._first_start_until) + MAX_AGE_S + turn_s
 
 
 def _report_no_outage(now: float) -> LogOutage:
--- a/ramptray/scheduler/follower.py
+++ b/ramptray/scheduler/follower.py
@@ -17,23 +17,23 @@
 
 LOG = logging.getLogger(__name__)
 
-WAIT_S = 10.0
+READ_WAIT_S = 10.0
 """How long a read waits on VMs that do not watch, in seconds."""
 
-TICK_S = 0.2
+READ_CHECK_INTERVAL_S = 0.2
 """Pause between two looks at whether the read underway was lost, in seconds."""
 
-FETCH_S = 3.0
-FAR_AWAY = 2**53
+FETCH_TIMEOUT_S = 3.0
+PAST_END_OFFSET = 2**53
 """An offset that no stream reaches."""
 
 RECENT_RECORDS = 512
 """Records before the log's end at which a fresh reader begins."""
 
-CHECKPOINT_EVERY = 50
+CHECKPOINT_INTERVAL = 50
 """Records without a checkpoint after which one may be due."""
 
-CHECKPOINT_SPREAD = 200
+CHECKPOINT_JITTER = 200
 """Further records over which the schedulers' turns are spread."""
 
 
@@ -45,8 +45,8 @@
         owner: Judges what is read.
     """
 
-    def __init__(self, log: log_client.Log, owner: Follower) -> None:
-        super().__init__(log, record.STREAM, WAIT_S)
+    def __init__(self, log: log_client.Log, owner: BundleFollower) -> None:
+        super().__init__(log, record.STREAM, READ_WAIT_S)
         self._owner = owner
 
     async def read_first(self) -> log_client.Page:
@@ -55,7 +55,7 @@
         A log of days holds thousands of bundles, and a fresh VM need not judge
         them all: to it the log looks as if it had forgotten the older ones.
         """
-        page = await self._log.read(self.stream, FAR_AWAY, 0.0)
+        page = await self._log.read(self.stream, PAST_END_OFFSET, 0.0)
         start = page.next_offset - RECENT_RECORDS
         if start > page.first_retained:
             self._owner.skip_to(start)
@@ -63,14 +63,14 @@
 
     async def take(self, page: log_client.Page, first: bool) -> None:
         """See the base class."""
-        await self._owner.take_page(page)
+        await self._owner.apply_page(page)
 
     def get_end(self, page: log_client.Page) -> int:
         """See the base class."""
         return self._owner.next_offset
 
 
-class Follower(source.BundleSource):
+class BundleFollower(source.BundleSource):
     """Follows the log, learns from peers and leaves checkpoints.
 
     Args:
@@ -89,17 +89,17 @@
         rng: random.Random,
         on_change: Callable[[acceptance.InForce], None],
     ) -> None:
-        super().__init__(client, FETCH_S)
+        super().__init__(client, FETCH_TIMEOUT_S)
         self._log = log
         self._trust = trust
         self._acceptance = acceptance.Acceptance(trust)
         self._reader = _BundleReader(log, self)
         self._rng = rng
         self._on_change = on_change
-        self._announced = 0
+        self._announced_generation = 0
         self._since_checkpoint = 0
-        self._checkpoint_due = CHECKPOINT_EVERY
-        self._count_from_checkpoint()
+        self._checkpoint_due = CHECKPOINT_INTERVAL
+        self._reset_checkpoint_count()
 
     @property
     def in_force(self) -> acceptance.InForce | None:
@@ -115,7 +115,7 @@
     def get_log_age(self, now: float) -> float | None:
         """Returns the seconds since the log last answered, None for never.
 
-        While nothing is published the log answers every ``WAIT_S`` seconds.
+        An idle log answers every ``READ_WAIT_S`` seconds.
         """
         answered_at = self._reader.answered_at
         return None if answered_at is None else round(now - answered_at, 1)
@@ -141,11 +141,11 @@
         """Follows the log until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._reader.run)
-            tasks.start_soon(self._tick)
+            tasks.start_soon(self._check_reads)
 
-    async def _tick(self) -> None:
+    async def _check_reads(self) -> None:
         while True:
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(READ_CHECK_INTERVAL_S)
             self._reader.check_underway()
 
     def accept_from_peer(
@@ -164,7 +164,7 @@
         """Leaves records before an offset unread."""
         self._acceptance.skip_to(start)
 
-    def _start_over(self) -> None:
+    def _restart_from_oldest(self) -> None:
         """Begins at the oldest record, since no checkpoint was found."""
         LOG.warning("no checkpoint among the recent records")
         whole = acceptance.Acceptance(self._trust)
@@ -172,7 +172,7 @@
             whole.learn(self.in_force.envelope)
         self._acceptance = whole
 
-    async def take_page(self, page: log_client.Page) -> None:
+    async def apply_page(self, page: log_client.Page) -> None:
         """Judges the records that were read."""
         self._acceptance.skip_to(page.first_retained)
         for found in page.records:
@@ -185,18 +185,18 @@
             self._announce()
             self._since_checkpoint += 1
             if verdict is acceptance.Verdict.CHECKPOINT:
-                self._count_from_checkpoint()
+                self._reset_checkpoint_count()
         caught_up = self._acceptance.next_offset >= page.next_offset
-        if caught_up and self._is_lost(page.first_retained):
-            self._start_over()
-        await self._leave_checkpoint()
+        if caught_up and self._needs_older_records(page.first_retained):
+            self._restart_from_oldest()
+        await self._append_checkpoint_if_due()
 
-    def _is_lost(self, first_retained: int) -> bool:
+    def _needs_older_records(self, first_retained: int) -> bool:
         """Returns whether older records might help and were not read."""
         unjoined = self._acceptance.log_view is None
         return unjoined and self._acceptance.first_read > first_retained
 
-    async def _leave_checkpoint(self) -> None:
+    async def _append_checkpoint_if_due(self) -> None:
         """Leaves a checkpoint now and then, so that the log may forget.
 
         Each scheduler draws how long it waits; whoever's turn comes first does
@@ -205,19 +205,19 @@
         view = self._acceptance.log_view
         if view is None or self._since_checkpoint < self._checkpoint_due:
             return
-        self._count_from_checkpoint()
+        self._reset_checkpoint_count()
         through = self._acceptance.next_offset - 1
         checkpoint = acceptance.Checkpoint(view.envelope, through)
         await self._log.append(record.STREAM, record.format_record(checkpoint))
 
-    def _count_from_checkpoint(self) -> None:
+    def _reset_checkpoint_count(self) -> None:
         self._since_checkpoint = 0
-        self._checkpoint_due = CHECKPOINT_EVERY + self._rng.randrange(
-            CHECKPOINT_SPREAD
+        self._checkpoint_due = CHECKPOINT_INTERVAL + self._rng.randrange(
+            CHECKPOINT_JITTER
         )
 
     def _announce(self) -> None:
         current = self.in_force
-        if current and current.generation > self._announced:
-            self._announced = current.generation
+        if current and current.generation > self._announced_generation:
+            self._announced_generation = current.generation
             self._on_change(current)
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -15,62 +15,61 @@
 from ramptray.core import membership, rtt
 from ramptray.peer import link as peer_link
 from ramptray.peer import message as peer_message
-from ramptray.scheduler import contact as contact_book
-from ramptray.scheduler import rollouts, source, summaries
+from ramptray.scheduler import contact, rollouts, source, summaries
 
 LOG = logging.getLogger(__name__)
 
-YOUNG_S = 4.0
+JOIN_PERIOD_S = 4.0
 """How long after its start a scheduler looks for the others more often, in
 seconds: until it has found them it decides by its own view alone."""
 
-YOUNG_PERIOD_S = 0.1
+JOIN_PROBE_INTERVAL_S = 0.1
 """Time between two probes of such a scheduler, in seconds."""
 
-SETTLED_PROBES = 8
+QUIET_PROBES_TO_JOIN = 8
 """Answered probes in a row that brought no new member, after which a scheduler
 has found the others: as many as it has neighbours among two hundred."""
 
-ALARM_TIMEOUT_S = 0.25
+SUSPECT_PROBE_TIMEOUT_S = 0.25
 """How long a member may take to answer when there is reason to doubt it, in
 seconds: a round trip takes some milliseconds, on a slow VM some ten."""
 
-MAX_ANSWER_S = 1.5
+MAX_PROBE_TIMEOUT_S = 1.5
 """How long an answer to a probe is waited for where answers have been late, in
 seconds, and how long it still counts as a word."""
 
-ALARM_PROBES = 6
+EXTRA_PROBES = 6
 """Others that are probed at once when a member does not answer: a cut takes a
 whole zone, and one probe a period would find that out member by member."""
 
-LIMIT_MARGIN = 1.0
+LIMIT_SHARE_FACTOR = 1.0
 """By how much the parts of customers' limits that all sides of a cut hand out
 may exceed the whole."""
 
-LEAVE_TO = 3
+LEAVE_FANOUT = 3
 """Members that a scheduler tells that it goes; they tell the others."""
 
 CONTACTS_PER_MESSAGE = 3
-OTHER_ZONE_EVERY = 3
+OTHER_ZONE_PROBE_PERIODS = 3
 """Every so many periods a scheduler of another zone is asked."""
 
-SPREAD_TO = 3
+STREAM_END_FANOUT = 3
 """Members that are told at once how far streams reach.  If all of them did not
 know, they tell as many each, so that nearly all know within a probe's time."""
 
-STRANGERS = 4
+MAX_UNKNOWN_SEEDS = 4
 """Seeds among which one is chosen to be asked, since it may be beyond a cut."""
 
 
-class _Outcome(msgspec.Struct):
+class _ProbeOutcome(msgspec.Struct):
     """What became of a probe.
 
     Attributes:
-        is_known: Set once it was answered, or cannot be any more.
+        decided: Set once it was answered, or cannot be any more.
         answered: Whether it was answered.
     """
 
-    is_known: anyio.Event
+    decided: anyio.Event
     answered: bool = False
 
 
@@ -85,7 +84,7 @@
         on_view: Called with each new view.
         on_lowest: Called when the zone's lowest generation has changed.
         on_newer: Called with a peer that has a newer bundle in force.
-        follow: What follows the log, if streams are watched for all.
+        bundle_source: What follows the log, if streams are watched for all.
         spreads_generations: See ``membership.Membership``.
 
     Attributes:
@@ -101,7 +100,7 @@
         on_view: Callable[[peer_message.View], None],
         on_lowest: Callable[[int], None],
         on_newer: Callable[[str, int], Awaitable[None]],
-        follow: source.BundleSource | None = None,
+        bundle_source: source.BundleSource | None = None,
         spreads_generations: bool = True,
     ) -> None:
         now = steadyclock.read()
@@ -113,23 +112,27 @@
         self._client = client
         self._rng = rng
         self._on_view = on_view
-        self._on_lowest = on_lowest
+        self._on_lowest_generation = on_lowest
         self._on_newer = on_newer
-        self._follow = follow
-        self._news = anyio.Event()
-        if follow:
-            follow.set_on_stream_advance(lambda: self._news.set())
-        self._version = 0
-        self._lowest = 0
-        self._contacts = contact_book.Contacts(me.zone)
+        self._bundle_source = bundle_source
+        self._stream_advance = anyio.Event()
+        if bundle_source:
+            bundle_source.set_on_stream_advance(
+                lambda: self._stream_advance.set()
+            )
+        self._view_signature = 0
+        self._lowest_generation = 0
+        self._contacts = contact.Contacts(me.zone)
         self.summaries = summaries.Summaries()
-        self._rounds = itertools.count(1)
-        self._young_until = now + YOUNG_S
-        self._settled = 0
+        self._periods = itertools.count(1)
+        self._joining_until = now + JOIN_PERIOD_S
+        self._quiet_probes = 0
         self._count_seeds_until = now + membership.FORGET_S
-        self._alarmed = False
+        self._probing_others = False
         self.verdicts = rollouts.VerdictBook()
-        self._rtt = rtt.RttEstimator(ALARM_TIMEOUT_S, MAX_ANSWER_S)
+        self._rtt = rtt.RttEstimator(
+            SUSPECT_PROBE_TIMEOUT_S, MAX_PROBE_TIMEOUT_S
+        )
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
@@ -137,37 +140,37 @@
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(self._run_periods)
-            tasks.start_soon(self._spread_news)
+            tasks.start_soon(self._spread_stream_ends)
 
-    async def _spread_news(self) -> None:
+    async def _spread_stream_ends(self) -> None:
         """Tells some members at once how far the log's streams reach."""
         while True:
-            await self._news.wait()
-            self._news = anyio.Event()
+            await self._stream_advance.wait()
+            self._stream_advance = anyio.Event()
             async with anyio.create_task_group() as tasks:
-                for address in self._pick_neighbours(SPREAD_TO):
+                for address in self._pick_probe_targets(STREAM_END_FANOUT):
                     tasks.start_soon(self._probe, address)
 
-    def _pick_neighbours(self, count: int) -> list[str]:
+    def _pick_probe_targets(self, count: int) -> list[str]:
         others = [m.address for m in self.membership.list_neighbours()]
         return self._rng.sample(others, min(count, len(others)))
 
     async def _run_periods(self) -> None:
         while True:
             period_s = membership.PERIOD_S
-            if self._is_young():
-                period_s = YOUNG_PERIOD_S
+            if self._is_joining():
+                period_s = JOIN_PROBE_INTERVAL_S
             await anyio.sleep(period_s * self._rng.uniform(0.8, 1.2))
             await self._run_period()
-            if self._is_young():
+            if self._is_joining():
                 await self._probe_seeds()
             await self._client.close_idle(steadyclock.read())
 
-    def _is_young(self) -> bool:
+    def _is_joining(self) -> bool:
         """Returns whether this scheduler still looks for the others."""
-        if self._settled >= SETTLED_PROBES:
+        if self._quiet_probes >= QUIET_PROBES_TO_JOIN:
             return False
-        return steadyclock.read() < self._young_until
+        return steadyclock.read() < self._joining_until
 
     async def _probe_seeds(self) -> None:
         """Asks the seeds that are no members yet."""
@@ -217,7 +220,7 @@
             for m in self.membership.list_all()
         )
         known += self._count_unmet_seeds()
-        return min(1.0, LIMIT_MARGIN * max(1, alive) / max(1, known))
+        return min(1.0, LIMIT_SHARE_FACTOR * max(1, alive) / max(1, known))
 
     def _count_unmet_seeds(self) -> int:
         """Returns how many seeds may be schedulers that were never met.
@@ -248,20 +251,20 @@
         )
         if member is None or member.address == self._me.address:
             return
-        if not await self._probe(address, ALARM_TIMEOUT_S):
+        if not await self._probe(address, SUSPECT_PROBE_TIMEOUT_S):
             await self._suspect(member)
 
     async def _suspect(self, member: membership.Member) -> None:
         """Takes a member for lost, and looks at others too."""
         self.membership.suspect(member.vm, steadyclock.read())
         self._publish()
-        if self._alarmed:
+        if self._probing_others:
             return
-        self._alarmed = True
+        self._probing_others = True
         try:
             await self._probe_others()
         finally:
-            self._alarmed = False
+            self._probing_others = False
 
     async def _probe_others(self) -> None:
         others = [
@@ -270,10 +273,10 @@
             if m.state is membership.MemberState.ALIVE
             and m.address != self._me.address
         ]
-        chosen = self._rng.sample(others, min(ALARM_PROBES, len(others)))
+        chosen = self._rng.sample(others, min(EXTRA_PROBES, len(others)))
 
         async def probe(member: membership.Member) -> None:
-            if not await self._probe(member.address, ALARM_TIMEOUT_S):
+            if not await self._probe(member.address, SUSPECT_PROBE_TIMEOUT_S):
                 self.membership.suspect(member.vm, steadyclock.read())
 
         async with anyio.create_task_group() as tasks:
@@ -285,7 +288,7 @@
         """Tells the zone that this scheduler goes."""
         now = steadyclock.read()
         self.membership.leave(now)
-        for address in self._pick_neighbours(LEAVE_TO):
+        for address in self._pick_probe_targets(LEAVE_FANOUT):
             await self._probe(address)
         self._publish()
 
@@ -295,7 +298,7 @@
         addresses = [target.address] if target else []
         if not target and self._seeds:
             addresses.append(self._rng.choice(self._seeds))
-        if next(self._rounds) % OTHER_ZONE_EVERY == 0:
+        if next(self._periods) % OTHER_ZONE_PROBE_PERIODS == 0:
             addresses.extend(self._pick_other_zone())
         for address in addresses:
             answered = await self._probe(address)
@@ -311,8 +314,8 @@
         """
         met = [member.address for member in self._contacts.list_all()]
         known = {m.address for m in self.membership.list_alive()}.union(met)
-        strangers = [seed for seed in self._seeds if seed not in known]
-        pool = met + strangers[:STRANGERS]
+        unknown_seeds = [seed for seed in self._seeds if seed not in known]
+        pool = met + unknown_seeds[:MAX_UNKNOWN_SEEDS]
         return [self._rng.choice(pool)] if pool else []
 
     async def _probe(
@@ -324,34 +327,34 @@
         time follows what probes have been taking; an answer after that still
         counts as a word.
         """
-        outcome = _Outcome(anyio.Event())
+        outcome = _ProbeOutcome(anyio.Event())
         if self._tasks is None:
             await self._ask(address, outcome)
             return outcome.answered
         self._tasks.start_soon(self._ask, address, outcome)
         with anyio.move_on_after(max(timeout_s, self._rtt.timeout_s)):
-            await outcome.is_known.wait()
+            await outcome.decided.wait()
         return outcome.answered
 
-    async def _ask(self, address: str, outcome: _Outcome) -> None:
+    async def _ask(self, address: str, outcome: _ProbeOutcome) -> None:
         began = steadyclock.read()
         try:
             answer = await self._client.ask(
-                address, self._make_question(), MAX_ANSWER_S
+                address, self._make_probe(), MAX_PROBE_TIMEOUT_S
             )
         except peer_link.LinkError:
-            self._contacts.drop(address)
-            outcome.is_known.set()
+            self._contacts.remove_address(address)
+            outcome.decided.set()
             return
         self._rtt.observe(steadyclock.read() - began)
-        self._take_answer(answer)
+        self._apply_answer(answer)
         outcome.answered = True
-        outcome.is_known.set()
+        outcome.decided.set()
         sender = answer.sender
         if sender.generation > self.membership.me.generation:
             await self._on_newer(sender.address, sender.generation)
 
-    def _take_answer(self, answer: peer_message.Gossip) -> None:
+    def _apply_answer(self, answer: peer_message.Gossip) -> None:
         known = self.membership.version
         now = steadyclock.read()
         self._merge(answer, now)
@@ -360,14 +363,14 @@
         elif answer.digest:
             self.membership.compare(answer.digest)
         is_same = self.membership.version == known
-        self._settled = self._settled + 1 if is_same else 0
+        self._quiet_probes = self._quiet_probes + 1 if is_same else 0
 
     def _merge(self, gossip: peer_message.Gossip, now: float) -> None:
         self.membership.merge([gossip.sender, *gossip.updates], now)
-        if self._follow and gossip.ends:
-            self._follow.update_stream_ends(gossip.ends)
-        for contact in [gossip.sender, *gossip.contacts]:
-            self._contacts.note(contact)
+        if self._bundle_source and gossip.ends:
+            self._bundle_source.update_stream_ends(gossip.ends)
+        for member in [gossip.sender, *gossip.contacts]:
+            self._contacts.update(member)
         self.summaries.merge(gossip.summaries, now)
         self.verdicts.take(gossip.verdicts)
 
@@ -380,12 +383,14 @@
             # They are for schedulers of other zones.
             self.summaries.pick(steadyclock.read()) if contacts else [],
             self._rng.sample(contacts, told),
-            self._follow.list_stream_ends() if self._follow else {},
+            self._bundle_source.list_stream_ends()
+            if self._bundle_source
+            else {},
             self.membership.digest,
             verdicts=self.verdicts.list_final(),
         )
 
-    def _make_question(self) -> peer_message.Gossip:
+    def _make_probe(self) -> peer_message.Gossip:
         return msgspec.structs.replace(
             self._make_message(), wanted_after=self.membership.wanted_after
         )
@@ -403,12 +408,12 @@
             (m.generation for m in self.membership.list_alive()),
             default=self.membership.me.generation,
         )
-        if lowest != self._lowest:
-            self._lowest = lowest
-            self._on_lowest(lowest)
-        if signature == self._version:
+        if lowest != self._lowest_generation:
+            self._lowest_generation = lowest
+            self._on_lowest_generation(lowest)
+        if signature == self._view_signature:
             return
-        self._version = signature
+        self._view_signature = signature
         alive = [
             m
             for m in self.membership.list_alive()
@@ -416,5 +421,5 @@
             or m.address == self._me.address
         ]
         self._on_view(peer_message.View(alive, others))
-        if self._follow:
-            self._follow.update_members(self._me, alive)
+        if self._bundle_source:
+            self._bundle_source.update_members(self._me, alive)
--- a/ramptray/scheduler/handler.py
+++ b/ramptray/scheduler/handler.py
@@ -11,10 +11,10 @@
 from ramptray.peer import message as peer_message
 from ramptray.scheduler import event, gossip, hub, source, status
 
-COLLECT_S = 1.0
+COLLECT_TIMEOUT_S = 1.0
 """How long the VM's other processes may take to send their events."""
 
-ATTACHED = 16
+MAX_ATTACHED_PROCESSES = 16
 """Processes of one VM that may answer."""
 
 
@@ -23,14 +23,14 @@
 
     def __init__(
         self,
-        owner: hub.Hub,
+        scheduler_hub: hub.Hub,
         gossiper: gossip.Gossiper,
-        follow: source.BundleSource,
+        bundle_source: source.BundleSource,
         events: timeline.Timeline,
     ) -> None:
-        self._hub = owner
+        self._hub = scheduler_hub
         self._gossiper = gossiper
-        self._follower = follow
+        self._bundle_source = bundle_source
         self._timeline = events
 
     async def open(self, session: peer_link.Session) -> None:
@@ -53,18 +53,18 @@
                 mine = self._gossiper.membership.me.generation
                 if question.sender.generation > mine:
                     sender = question.sender
-                    await self._follower.fetch(
+                    await self._bundle_source.fetch(
                         sender.address, sender.generation
                     )
                 return answer
             case peer_message.FetchBundle():
-                return self._follower.serve_bundle(question)
+                return self._bundle_source.serve_bundle(question)
             case peer_message.FollowStreams():
-                return await self._follower.serve_streams(question)
+                return await self._bundle_source.serve_streams(question)
             case peer_message.AskStatus():
                 return peer_message.Status(
                     status.make_report(
-                        self._hub, self._gossiper, self._follower
+                        self._hub, self._gossiper, self._bundle_source
                     )
                 )
             case peer_message.ListBlocks():
@@ -87,9 +87,9 @@
         events = self._timeline.list_events(question.after, question.subject)
         send, receive = anyio.create_memory_object_stream[
             peer_message.TimelineEvents
-        ](ATTACHED)
+        ](MAX_ATTACHED_PROCESSES)
         self._hub.post(event.EventsWanted(question, send))
-        with anyio.move_on_after(COLLECT_S):
+        with anyio.move_on_after(COLLECT_TIMEOUT_S):
             async for answer in receive:
                 events.extend(answer.events)
         return peer_message.TimelineEvents(events)
--- a/ramptray/scheduler/main.py
+++ b/ramptray/scheduler/main.py
@@ -41,7 +41,7 @@
         settings.vm, settings.zone, settings.listen, int(time.time())
     )
     rng = random.Random()
-    follow = follower.Follower(
+    follow = follower.BundleFollower(
         log,
         settings.trust,
         client,
--- a/ramptray/scheduler/poller.py
+++ b/ramptray/scheduler/poller.py
@@ -14,8 +14,8 @@
 
 LOG = logging.getLogger(__name__)
 
-VM_LIST_EVERY_S = 2.0
-AT_ONCE = 16
+VM_LIST_INTERVAL_S = 2.0
+MAX_CONCURRENT_POLLS = 16
 """Engines that are asked at the same time."""
 
 
@@ -24,39 +24,39 @@
 
     def __init__(
         self,
-        target: hub.Hub,
+        scheduler_hub: hub.Hub,
         gossiper: gossip.Gossiper,
         vms: vmlist.VmList,
-        every_s: float,
+        interval_s: float,
     ) -> None:
-        self._hub = target
+        self._hub = scheduler_hub
         self._gossiper = gossiper
         self._vms = vms
-        self._every_s = every_s
+        self._interval_s = interval_s
         self._client = engine_client.EngineClient()
-        self._positions: dict[str, int] = {}
-        self._limit = anyio.CapacityLimiter(AT_ONCE)
+        self._cache_positions: dict[str, int] = {}
+        self._limit = anyio.CapacityLimiter(MAX_CONCURRENT_POLLS)
         self._wake = anyio.Event()
-        target.on_new_backends = self._wake_up
+        scheduler_hub.on_new_backends = self._on_new_backends
 
     async def run(self) -> None:
         """Polls until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._repeat_vms)
-            tasks.start_soon(self._repeat_engines)
+            tasks.start_soon(self._run_vm_list)
+            tasks.start_soon(self._run_engines)
 
-    def _wake_up(self) -> None:
+    def _on_new_backends(self) -> None:
         self._wake.set()
 
-    async def _repeat_vms(self) -> None:
+    async def _run_vm_list(self) -> None:
         while True:
             await self._poll_vms()
-            await anyio.sleep(VM_LIST_EVERY_S)
+            await anyio.sleep(VM_LIST_INTERVAL_S)
 
-    async def _repeat_engines(self) -> None:
+    async def _run_engines(self) -> None:
         while True:
             await self._poll_engines()
-            with anyio.move_on_after(self._every_s):
+            with anyio.move_on_after(self._interval_s):
                 await self._wake.wait()
             self._wake = anyio.Event()
 
@@ -101,12 +101,12 @@
                 await self._poll_cache(name, url)
 
     async def _poll_cache(self, name: str, url: str) -> None:
-        after = self._positions.get(name, 0)
+        after = self._cache_positions.get(name, 0)
         try:
             events = await self._client.fetch_cache_events(url, after)
         except engine_client.EngineError:
             return
-        self._positions[name] = events.next
+        self._cache_positions[name] = events.next
         if events.stored or events.removed:
             self._hub.post(event.CacheChanged(name, events))
 
--- a/ramptray/scheduler/source.py
+++ b/ramptray/scheduler/source.py
@@ -14,7 +14,7 @@
 LOG = logging.getLogger(__name__)
 
 
-WATCHERS = 2
+WATCHER_COUNT = 2
 """VMs that watch the log's streams for all: one of them may be frozen or cut
 off from the log, and each costs the log a call a second a stream."""
 
@@ -27,12 +27,14 @@
 
     Args:
         client: Asks peers.
-        fetch_s: Longest time for a peer to hand over its bundle, in seconds.
+        fetch_timeout_s: Longest time for a peer to send its bundle, in seconds.
     """
 
-    def __init__(self, client: peer_link.PeerClient, fetch_s: float) -> None:
+    def __init__(
+        self, client: peer_link.PeerClient, fetch_timeout_s: float
+    ) -> None:
         self._client = client
-        self._fetch_s = fetch_s
+        self._fetch_timeout_s = fetch_timeout_s
 
     @property
     @abc.abstractmethod
@@ -71,7 +73,7 @@
     ) -> None:
         """Takes the VMs that are alive; some watch the streams for all."""
         vms = [member.vm for member in alive]
-        watchers = membership.pick_owners(WATCH_KEY, vms, WATCHERS)
+        watchers = membership.pick_owners(WATCH_KEY, vms, WATCHER_COUNT)
         self.set_watching(me.vm in watchers)
 
     async def serve_streams(
@@ -95,7 +97,9 @@
         current = self.in_force.generation if self.in_force else 0
         try:
             answer = await self._client.ask(
-                address, peer_message.FetchBundle(current), self._fetch_s
+                address,
+                peer_message.FetchBundle(current),
+                self._fetch_timeout_s,
             )
         except peer_link.LinkError as error:
             LOG.info("bundle from a peer: %s", error)
--- a/ramptray/scheduler/summaries.py
+++ b/ramptray/scheduler/summaries.py
@@ -9,7 +9,7 @@
 
 SUMMARIES_PER_MESSAGE = 8
 
-STALE_S = 8.0
+MAX_SUMMARY_AGE_S = 8.0
 """A shard's summary older than this is not acted on, in seconds."""
 
 
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self._known: dict[str, tuple[float, summary.ShardSummary]] = {}
-        self._turn = 0
+        self._next_index = 0
 
     def put(self, own: Iterable[summary.ShardSummary], now: float) -> None:
         """Takes the summaries of this scheduler's own shards."""
@@ -50,8 +50,8 @@
         fresh = self._list_fresh(now)
         if not fresh:
             return []
-        start = self._turn % len(fresh)
-        self._turn += SUMMARIES_PER_MESSAGE
+        start = self._next_index % len(fresh)
+        self._next_index += SUMMARIES_PER_MESSAGE
         ring = itertools.islice(itertools.cycle(fresh), start, None)
         count = min(SUMMARIES_PER_MESSAGE, len(fresh))
         return list(itertools.islice(ring, count))
@@ -60,5 +60,5 @@
         return [
             found
             for seen, found in self._known.values()
-            if now - seen < STALE_S
+            if now - seen < MAX_SUMMARY_AGE_S
         ]
--- a/test/test_block_sync.py
+++ b/test/test_block_sync.py
@@ -49,9 +49,9 @@
 class Vm:
     """What a VM knows and who keeps it."""
 
-    def __init__(self, log: Log, loads: bool = False) -> None:
+    def __init__(self, log: Log, load_at_start: bool = False) -> None:
         self.blocks = blocklist.Blocklist()
-        self.sync = block_sync.BlockSync(log, self.blocks, loads)
+        self.sync = block_sync.BlockSync(log, self.blocks, load_at_start)
 
     def knows(self, content: str) -> bool:
         return self.blocks.get_left(content, steadyclock.read()) > 0
@@ -98,7 +98,7 @@
 async def test_a_block_is_kept_once_the_log_is_back() -> None:
     log = Log()
     log.is_down = True
-    vm = Vm(log, loads=True)
+    vm = Vm(log, load_at_start=True)
     async with run(vm):
         vm.blocks.block("p", 3, steadyclock.read())
         await anyio.sleep(0.3)
--- a/test/test_distributor.py
+++ b/test/test_distributor.py
@@ -209,7 +209,7 @@
         deployment.frozen.update(deployment.list_readers())
         deployment.log.refused.update(deployment.frozen)
         deployment.log.calls.clear()
-        await anyio.sleep(distributor.STALE_S + 0.3)
+        await anyio.sleep(distributor.MAX_AGE_S + 0.3)
         called = set(deployment.log.calls) - deployment.frozen
         assert 1 <= len(called) <= 12
 
@@ -231,7 +231,7 @@
 async def test_what_a_vm_was_told_outlives_the_log() -> None:
     async with run(6) as deployment:
         deployment.log.refused.update(deployment.vms)
-        await anyio.sleep(distributor.STALE_S + 1.0)
+        await anyio.sleep(distributor.MAX_AGE_S + 1.0)
         assert all(vm.reader.end == 1 for vm in deployment.vms.values())
         deployment.log.refused.clear()
         deployment.log.write("a", b"2")
@@ -247,7 +247,7 @@
     async with run(3) as deployment:
         (follower,) = set(deployment.vms) - set(deployment.list_readers())
         vm = deployment.vms[follower]
-        deployment.frozen = {vm.distributor._first.partition(":")[0]}
+        deployment.frozen = {vm.distributor._primary_source.partition(":")[0]}
         deployment.log.calls.clear()
         deployment.log.write("a", b"2")
         vm.reader.note_told(2)
@@ -261,7 +261,7 @@
 async def test_a_vm_that_learns_last_still_drops_a_replica_in_time() -> None:
     # VMs kept a replica without a record for 1.6 s, and read for themselves
     # after 0.8 s: a request reached it 2.156 s after its record had gone.
-    assert distributor.BEHIND_S + main.HOLD_S <= TAKE_OVER_S
+    assert distributor.MAX_LAG_S + main.HOLD_S <= TAKE_OVER_S
 
 
 async def test_a_reason_to_look_is_not_lost_while_a_vm_pauses() -> None:
@@ -270,10 +270,12 @@
     paused = Deployment(["a1"]).vms["a1"].distributor
     began = time.monotonic()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(paused._pause, distributor.IDLE_CHECK_S)
-        await anyio.sleep(distributor.CHECK_S / 5)
+        tasks.start_soon(
+            paused._wait_until_due, distributor.MAX_CHECK_INTERVAL_S
+        )
+        await anyio.sleep(distributor.MIN_CHECK_INTERVAL_S / 5)
         paused.wake()
-    assert time.monotonic() - began < distributor.IDLE_CHECK_S / 2
+    assert time.monotonic() - began < distributor.MAX_CHECK_INTERVAL_S / 2
 
 
 async def test_a_vm_that_nobody_tells_reads_for_itself() -> None:
--- a/test/test_follower.py
+++ b/test/test_follower.py
@@ -53,8 +53,8 @@
 
 def make_follower(
     log: log_client.Log, on_change: Callable[[acceptance.InForce], None]
-) -> follower.Follower:
-    return follower.Follower(
+) -> follower.BundleFollower:
+    return follower.BundleFollower(
         log,
         test_bundle.make_reader()._trust,
         peer_link.PeerClient(clock.HybridClock(lambda: 0), None),
--- a/test/test_gossip.py
+++ b/test/test_gossip.py
@@ -39,7 +39,7 @@
 def make_gossiper(
     seeds: list[str],
     silent: set[str] | None = None,
-    follow: source.BundleSource | None = None,
+    bundle_source: source.BundleSource | None = None,
     vm: str = "a",
     client: link.PeerClient | None = None,
     seed: int = 1,
@@ -55,7 +55,7 @@
         lambda view: None,
         lambda lowest: None,
         take_newer,
-        follow,
+        bundle_source,
     )
 
 
@@ -66,10 +66,10 @@
     # restarted alone on its side of a cut handed out every limit whole.
     started = steadyclock.read()
     made = make_gossiper(["a:1", "b:1", "c:1"])
-    for later_s in (0.0, gossip.YOUNG_S + 1.0):
+    for later_s in (0.0, gossip.JOIN_PERIOD_S + 1.0):
         now = started + later_s
         monkeypatch.setattr(steadyclock, "read", lambda at=now: at)
-        part = gossip.LIMIT_MARGIN / 3
+        part = gossip.LIMIT_SHARE_FACTOR / 3
         assert made.get_limit_share() == pytest.approx(part)
 
 
@@ -154,7 +154,7 @@
 
 def test_how_far_streams_reach_is_told_both_ways() -> None:
     followed = Followed()
-    made = make_gossiper(["b:1"], follow=followed)
+    made = make_gossiper(["b:1"], bundle_source=followed)
     peer = membership.Member("b", "z", "b:1", 1)
     answer = made.receive(peer_message.Gossip(peer, [], [], [], {"s": 9}))
     assert followed.ends == {"s": 9}
@@ -207,10 +207,10 @@
     lost = {name: Lost() for name in names}
     for seed, name in enumerate(names):
         made = make_gossiper(
-            [], follow=lost[name], vm=name, client=network, seed=seed
+            [], bundle_source=lost[name], vm=name, client=network, seed=seed
         )
         made.membership.merge(members, 0.0)
-        made._young_until = 0.0
+        made._joining_until = 0.0
         network.peers[f"{name}:1"] = made
 
     async def run() -> None:
@@ -218,7 +218,7 @@
             for made in network.peers.values():
                 tasks.start_soon(made.run)
             await anyio.sleep(0.05)
-            for name in names[: source.WATCHERS]:
+            for name in names[: source.WATCHER_COUNT]:
                 lost[name].ends = {"s": 6}
                 lost[name].on_news()
             await anyio.sleep(SOON_S)
@@ -234,7 +234,7 @@
     vms = "abcdefgh"
     for vm in vms:
         followed = Followed()
-        made = make_gossiper([], follow=followed, vm=vm)
+        made = make_gossiper([], bundle_source=followed, vm=vm)
         others = [
             membership.Member(n, "z", f"{n}:1", 1) for n in vms if n != vm
         ]
@@ -242,7 +242,7 @@
         made._publish()
         watching[vm] = (made, followed)
     watchers = {vm for vm, (_, f) in watching.items() if f.watching}
-    assert len(watchers) == source.WATCHERS
+    assert len(watchers) == source.WATCHER_COUNT
     gone = [
         membership.Member(vm, "z", f"{vm}:1", 1, membership.MemberState.DEAD)
         for vm in watchers
@@ -251,7 +251,7 @@
         made.membership.merge(gone, 1.0)
         made._publish()
     left = {vm for vm, (_, f) in watching.items() if f.watching} - watchers
-    assert len(left) == source.WATCHERS
+    assert len(left) == source.WATCHER_COUNT
 
 
 def test_a_settled_scheduler_probes_no_more_often_than_others() -> None:
@@ -259,13 +259,13 @@
     made = make_gossiper(["b:1"], client=peers)
 
     async def run() -> None:
-        with anyio.move_on_after(gossip.YOUNG_PERIOD_S * 30):
+        with anyio.move_on_after(gossip.JOIN_PROBE_INTERVAL_S * 30):
             await made.run()
 
     anyio.run(run)
     # Each of the first probes may bring a member, the next ones brought none;
     # for all of its first four seconds it would have been thirty.
-    assert len(peers.asked) <= 2 * gossip.SETTLED_PROBES
+    assert len(peers.asked) <= 2 * gossip.QUIET_PROBES_TO_JOIN
 
 
 def test_seeds_that_are_members_are_probed_as_members_only() -> None:
@@ -279,7 +279,7 @@
     neighbours = {m.address for m in made.membership.list_neighbours()}
 
     async def run() -> None:
-        for _ in range(4 * gossip.OTHER_ZONE_EVERY):
+        for _ in range(4 * gossip.OTHER_ZONE_PROBE_PERIODS):
             await made._run_period()
 
     anyio.run(run)
@@ -289,17 +289,17 @@
 
 def test_a_scheduler_asks_for_all_members_and_lists_them() -> None:
     made = make_gossiper([])
-    asked = made._make_question()
+    asked = made._make_probe()
     assert asked.wanted_after == ""
     names = sorted(f"m{n}" for n in range(60))
     others = [membership.Member(n, "z", f"{n}:1", 1) for n in names]
     lister = make_gossiper([], vm="l")
     lister.membership.merge(others, steadyclock.read())
     for _ in range(2):
-        made._take_answer(lister.receive(made._make_question()))
+        made._apply_answer(lister.receive(made._make_probe()))
     known = {member.vm for member in made.membership.list_alive()}
     assert known == {*names, "a", "l"}
-    assert made._make_question().wanted_after is None
+    assert made._make_probe().wanted_after is None
 
 
 def test_summaries_are_told_only_where_there_are_other_zones() -> None:
