--- a/ramptray/scheduler/main.py
+++ b/ramptray/scheduler/main.py
@@ -20,9 +20,9 @@
     event,
     follower,
     gossip,
+    handler,
     hub,
     poller,
-    servant,
 )
 from ramptray.settings import SchedulerSettings
 
@@ -41,7 +41,7 @@
         settings.vm, settings.zone, settings.listen, int(time.time())
     )
     rng = random.Random()
-    follow = follower.Follower(
+    follow = follower.BundleFollower(
         log,
         settings.trust,
         client,
@@ -79,7 +79,7 @@
         settings.report_every_s,
     )
     server = peer_server.PeerServer(
-        servant.SchedulerServant(owner, gossiper, follow, events),
+        handler.SchedulerHandler(owner, gossiper, follow, events),
         equipment.clock,
         settings.tls,
     )
