--- a/ramptray/node/main.py
+++ b/ramptray/node/main.py
@@ -107,7 +107,7 @@
         self._block_sync = block_sync.BlockSync(
             platform_blocks.TopicBlockLog(self._store),
             self._blocks,
-            loads=not given.first_start,
+            load_at_start=not given.first_start,
         )
         self._store.on_older_copy(self._block_sync.save_all)
         self._gossiper = self._make_gossiper()
@@ -121,12 +121,12 @@
             self._equipment.timeline,
             self._blocks,
         )
-        self._hub.guard.on_crash = self._block_sync.request_reload
-        self._verdict_keeper = rollouts.VerdictKeeper(
+        self._hub.content_blocker.on_crash = self._block_sync.request_reload
+        self._verdict_keeper = rollouts.VerdictWriter(
             platform_rollout.TopicVerdictLog(self._store),
             self._hub.rollouts.verdicts,
         )
-        self._hub.rollouts.on_verdict = self._verdict_keeper.keep
+        self._hub.rollouts.on_verdict = self._verdict_keeper.enqueue
         self._gossiper.verdicts = self._hub.rollouts.verdicts
         self._handler = handler.SchedulerHandler(
             self._hub, self._gossiper, self._follower, self._equipment.timeline
