--- a/ramptray/core/pace.py
+++ b/ramptray/core/wait_estimator.py
@@ -8,33 +8,33 @@
 """Span over which grants and refusals are counted, in seconds."""
 
 
-class Pace:
+class WaitEstimator:
     """Measures the rate of grants; a rate limit of all servers goes before it.
 
     Args:
-        waiting: The shard's queue.
+        shard_queue: The shard's queue.
         servers: Its backend servers.
         limits: The part of each limit that this owner hands out.
     """
 
     def __init__(
         self,
-        waiting: queue.ShardQueue,
+        shard_queue: queue.ShardQueue,
         servers: fleet.Fleet,
         limits: limit.Limits,
     ) -> None:
-        self._queue = waiting
+        self._queue = shard_queue
         self._fleet = servers
         self._limits = limits
         self._granted = meter.RateMeter(WINDOW_S)
         self._refused = meter.RateMeter(WINDOW_S)
         self._refused_count = meter.RateMeter(WINDOW_S)
 
-    def count_grant(self, waiting: queue.Waiting, now: float) -> None:
+    def count_grant(self, waiting: queue.QueuedRequest, now: float) -> None:
         """Counts a request that was granted."""
         self._granted.add(waiting.cost, now)
 
-    def count_refusal(self, waiting: queue.Waiting, now: float) -> None:
+    def count_refusal(self, waiting: queue.QueuedRequest, now: float) -> None:
         """Counts a request that was refused."""
         self._refused.add(waiting.cost, now)
         self._refused_count.add(1, now)
@@ -43,14 +43,16 @@
         """Returns the requests a second that this owner may send in all."""
         return self._fleet.get_rate_limit(now, self._limits.server_part)
 
-    def estimate_wait(self, waiting: queue.Waiting, now: float) -> float:
+    def estimate_wait(self, waiting: queue.QueuedRequest, now: float) -> float:
         """Returns the seconds that the requests before one take."""
         if rate_per_s := self.get_rate_limit(now):
             return self._queue.get_count_ahead(waiting) / rate_per_s
         rate = self._granted.get_rate(now)
         return self._queue.get_cost_ahead(waiting) / rate if rate else 0.0
 
-    def estimate_return(self, waiting: queue.Waiting, now: float) -> float:
+    def estimate_retry_after(
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> float:
         """Returns the seconds until a refused request may be served.
 
         Load pattern: many are refused within a few seconds and come back.
--- a/test/test_waiting.py
+++ b/test/test_waiting.py
@@ -55,7 +55,7 @@
     return list_granted(owner.receive("entry", message.Enqueue(info), now))
 
 
-def list_granted(out: list[owner_effect.ToEntry]) -> list[str]:
+def list_granted(out: list[owner_effect.SendToEntry]) -> list[str]:
     return [
         effect.message.backend
         for effect in out
@@ -211,7 +211,7 @@
     # highest tier was refused.
     owner = make_owner(fast=FAST)
     owner.receive("lost", message.Enqueue(SHORT), 1.0)
-    owner.lose_entry("lost", 1.5)
+    owner.detach_entry("lost", 1.5)
     again = msgspec.structs.replace(SHORT, request_id="again")
     assert send(owner, again, 1.6) == ["fast"]
 
@@ -280,7 +280,7 @@
     ]
     assert len(told) == 80
     assert max(told) > 5.0  # Ten a second were served.
-    assert max(told) <= shedding.MAX_RETRY_S
+    assert max(told) <= shedding.MAX_RETRY_AFTER_S
 
 
 def test_owners_that_start_at_once_do_not_all_choose_the_same_server() -> None:
