--- a/ramptray/core/backend.py
+++ b/ramptray/core/backend.py
@@ -77,12 +77,12 @@
     release: str = ""
     region: str = ""
 
-    def is_alike(self, other: BackendInfo) -> bool:
+    def equals_except_warm_at(self, other: BackendInfo) -> bool:
         """Returns whether two differ at most in when the server is warm."""
         return self == msgspec.structs.replace(other, warm_at=self.warm_at)
 
 
-class Placed(msgspec.Struct):
+class PlacedRequest(msgspec.Struct):
     """A request that occupies a place on a backend server."""
 
     request: message.RequestInfo
@@ -148,8 +148,8 @@
         self.info = info
         self.report_due_at = report_due_at
         self.state = BackendState.ACTIVE
-        self.placed: dict[str, Placed] = {}
-        self.pending: dict[str, Placed] = {}
+        self.placed: dict[str, PlacedRequest] = {}
+        self.pending: dict[str, PlacedRequest] = {}
         self.prefill_tokens = 0
         self.held_tokens = 0
         self.speed = speeds.EngineSpeed(line or speeds.Line())
@@ -175,7 +175,7 @@
         return leaving or self.availability.is_lost
 
     @property
-    def has_place(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Whether another request may run there, as far as places go."""
         running = len(self.placed) + self.foreign
         active = self.state is BackendState.ACTIVE
@@ -191,7 +191,7 @@
         """Time between two tokens of an answer, in seconds."""
         return self.speed.step_s
 
-    def expect_speed_of(self, others: Iterable[Backend]) -> None:
+    def assume_speed_of(self, others: Iterable[Backend]) -> None:
         """Assumes the usual speed of the others until its own is learned."""
         known = [o.speed.factor for o in others if o.speed.is_learned]
         if known:
@@ -267,7 +267,7 @@
         """Returns the seconds until a new request's first token."""
         begins_in_s = max(self.speed.fixed_s, self._estimate_backlog(now))
         first_s = begins_in_s + uncached * self.speed.token_s
-        return first_s * self.get_lateness(now)
+        return first_s * self.get_slowdown(now)
 
     def estimate_alone(self, uncached: int) -> float:
         """Returns the seconds to a first token where no other prompt waits."""
@@ -294,7 +294,7 @@
         rest = self.prefill_tokens - head.uncached
         return max(0.0, ends_at - now) + rest * self.speed.token_s
 
-    def get_lateness(self, now: float) -> float:
+    def get_slowdown(self, now: float) -> float:
         """Returns how many times slower than learned the engine now seems."""
         if not self.pending:
             return 1.0
@@ -338,12 +338,12 @@
         entry: str,
         grant_id: str,
         now: float,
-    ) -> Placed:
+    ) -> PlacedRequest:
         """Occupies a place for the request."""
         uncached = self.count_uncached(request)
         expected_s = self.estimate_first_token(uncached, now)
         self.prefill_tokens += uncached
-        placed = Placed(
+        placed = PlacedRequest(
             request,
             entry,
             grant_id,
@@ -377,7 +377,7 @@
         if now >= self.info.warm_at:
             usual_s = self.speed.line.estimate(placed.uncached)
             placed.first_ratio = first.elapsed_s / max(usual_s, 1e-4)
-        self._forget_earlier(placed)
+        self._finish_earlier_prefills(placed)
         free_at = self.first_at - self.speed.fixed_s
         begun_at = max(now - first.elapsed_s, free_at)
         self._finish_prefill(placed)
@@ -385,10 +385,10 @@
         took_s = now - begun_at
         prefilled = first.prefilled_tokens
         if prefilled is None:
-            prefilled = self._guess_prefilled(placed, took_s)
+            prefilled = self._estimate_prefilled(placed, took_s)
         self.speed.learn_first(prefilled, took_s)
 
-    def _guess_prefilled(self, placed: Placed, took_s: float) -> int:
+    def _estimate_prefilled(self, placed: PlacedRequest, took_s: float) -> int:
         """Returns how much of a prompt was computed, by the time it took.
 
         What counts as cached may have been evicted since, or was never stored.
@@ -412,7 +412,7 @@
         decoded = ended.output_tokens - ended.first_tokens
         self.speed.learn_step(decoded, ended.decode_s)
 
-    def remove(self, request_id: str) -> Placed | None:
+    def remove(self, request_id: str) -> PlacedRequest | None:
         """Frees the request's place."""
         placed = self.placed.pop(request_id, None)
         if placed is None:
@@ -422,7 +422,7 @@
         self.pauses.note_end(placed.entry, request_id)
         return placed
 
-    def correct(self, running: int, step_s: float = 0.0) -> None:
+    def apply_load_report(self, running: int, step_s: float = 0.0) -> None:
         """Takes a lagging load report.
 
         Answers show the speed of decoding only when they end, which on an
@@ -445,7 +445,7 @@
         if placed := self.placed.get(request_id):
             self._finish_prefill(placed)
 
-    def _forget_earlier(self, placed: Placed) -> None:
+    def _finish_earlier_prefills(self, placed: PlacedRequest) -> None:
         earlier = [
             other
             for other in self.pending.values()
@@ -454,7 +454,7 @@
         for other in earlier:
             self._finish_prefill(other)
 
-    def _finish_prefill(self, placed: Placed) -> None:
+    def _finish_prefill(self, placed: PlacedRequest) -> None:
         if self.pending.pop(placed.request.request_id, None) is not None:
             self.prefill_tokens -= placed.uncached
 
--- a/ramptray/core/candidate.py
+++ b/ramptray/core/candidate.py
@@ -37,7 +37,7 @@
         """Takes a backend server in or out, as its places are now."""
         name = known.info.name
         place = self._places.get(name)
-        if known.has_place:
+        if known.has_free_slot:
             if place is None:
                 self._places[name] = len(self._list)
                 self._list.append(known)
--- a/ramptray/core/fleet.py
+++ b/ramptray/core/fleet.py
@@ -9,10 +9,10 @@
 from ramptray.core import candidate, eligibility, message, queue, rtt
 from ramptray.core import speed as speeds
 
-ORPHAN_S = 30.0
+ORPHAN_TIMEOUT_S = 30.0
 """Longest time a lost entry's request keeps its place, in seconds."""
 
-FASTEST = 8
+MAX_FASTEST = 8
 """How many of the fastest backend servers are checked for an objective."""
 
 
@@ -38,7 +38,7 @@
         self._speeds = dict(learned)
         self._hints: dict[str, message.ServerHints] = {}
         self._wanted: frozenset[str] = frozenset()
-        self._where: dict[str, backends.Backend] = {}
+        self._backend_of: dict[str, backends.Backend] = {}
         self._line = speeds.Line()
         self._rtt = rtt.RttEstimator(0.0, backends.MAX_RTT_S)
         self._fastest: list[backends.Backend] = []
@@ -46,12 +46,12 @@
         self._holders = candidate.HolderIndex()
 
     def __contains__(self, request_id: str) -> bool:
-        return request_id in self._where
+        return request_id in self._backend_of
 
     @property
     def is_empty(self) -> bool:
         """Whether no request has a place."""
-        return not self._where
+        return not self._backend_of
 
     @property
     def has_usable(self) -> bool:
@@ -75,8 +75,8 @@
         self._wanted = frozenset(wanted)
         for name, info in wanted.items():
             known = self.backends.get(name)
-            if known is None or not known.info.is_alike(info):
-                self._renew(info, known)
+            if known is None or not known.info.equals_except_warm_at(info):
+                self._replace_backend(info, known)
             else:
                 known.info = info
         for known in self.backends.values():
@@ -89,7 +89,7 @@
             if not self.backends[name].placed:
                 del self.backends[name]
 
-    def wants(self, name: str) -> bool:
+    def is_configured(self, name: str) -> bool:
         """Returns whether the bundle lets a backend server get new work."""
         return name in self._wanted
 
@@ -102,7 +102,7 @@
             known.state = state
             self._pool.update(known)
 
-    def correct_load(
+    def apply_load_report(
         self,
         name: str,
         running: int,
@@ -121,12 +121,12 @@
         """
         if known := self.backends.get(name):
             known.report_due_at = 0.0
-            known.correct(running, step_s)
+            known.apply_load_report(running, step_s)
             known.versions = versions
             known.choose_version(wanted)
             self._pool.update(known)
 
-    def note_silence(self, name: str) -> None:
+    def note_missing_report(self, name: str) -> None:
         """Notes that a backend server gives no load report."""
         if known := self.backends.get(name):
             known.report_due_at = 0.0
@@ -152,13 +152,13 @@
         self._hints[hints.backend] = hints
         known = self.backends.get(hints.backend)
         if known and known.info.run == hints.run:
-            self._apply_hints(known, hints)
+            self._apply_to_backend(known, hints)
             if hints.pause_s > 0.0:
                 until = now + hints.pause_s
                 known.pauses.take(entry, until)
                 self.eligibility.note_pause(until)
 
-    def _apply_hints(
+    def _apply_to_backend(
         self, known: backends.Backend, hints: message.ServerHints
     ) -> None:
         known.limit_per_s = hints.limit_per_s
@@ -220,25 +220,25 @@
         placed.asked_at = now if asked_at is None else asked_at
         self._pool.update(chosen)
         self._holders.add(request.prefix, chosen.info.name)
-        self._where[request.request_id] = chosen
+        self._backend_of[request.request_id] = chosen
 
     def find(self, request_id: str) -> backends.Backend | None:
         """Returns the backend server on which a request has its place."""
-        return self._where.get(request_id)
+        return self._backend_of.get(request_id)
 
-    def get_placed(self, request_id: str) -> backends.Placed | None:
+    def get_placed(self, request_id: str) -> backends.PlacedRequest | None:
         """Returns a request's place, if it has one."""
-        backend = self._where.get(request_id)
+        backend = self._backend_of.get(request_id)
         return backend.placed.get(request_id) if backend else None
 
     def begin_answer(self, first: message.FirstToken, now: float) -> None:
         """Learns from a first token, also for servers without a speed yet."""
-        backend = self._where[first.request_id]
+        backend = self._backend_of[first.request_id]
         knew = backend.speed.is_learned
         backend.begin_answer(first, now)
         if backend.speed.is_learned and not knew:
             for other in self.backends.values():
-                self._expect_speed(other)
+                self._assume_speed(other)
 
     def refresh(self, now: float, part: float) -> None:
         """Finds the fastest backend servers; to be called at each tick.
@@ -250,7 +250,7 @@
             part: The part of each limit that this owner hands out.
         """
         self._fastest = heapq.nsmallest(
-            FASTEST,
+            MAX_FASTEST,
             (known for known in self.backends.values() if known.is_open(now)),
             key=lambda known: (
                 known.get_rate_wait(now, part),
@@ -293,18 +293,18 @@
         Returns:
             The backend server that has got room, if any.
         """
-        backend = self._where[ended.request_id]
+        backend = self._backend_of[ended.request_id]
         if not ended.certain:
             backend.placed[ended.request_id].orphaned_at = now
             return None
-        del self._where[ended.request_id]
+        del self._backend_of[ended.request_id]
         backend.end(ended, now)
         self._pool.update(backend)
         return backend
 
-    def free(self, request_id: str) -> backends.Placed | None:
+    def free(self, request_id: str) -> backends.PlacedRequest | None:
         """Takes a request's place back, if it has one."""
-        backend = self._where.pop(request_id, None)
+        backend = self._backend_of.pop(request_id, None)
         if backend is None:
             return None
         placed = backend.remove(request_id)
@@ -313,32 +313,32 @@
 
     # Entries that come and go.
 
-    def list_of_entry(self, entry: str) -> set[str]:
+    def list_requests_of_entry(self, entry: str) -> set[str]:
         """Returns the requests of an entry that have a place."""
         return {
             request_id
-            for request_id, backend in self._where.items()
+            for request_id, backend in self._backend_of.items()
             if backend.placed[request_id].entry == entry
         }
 
-    def lose_entry(self, entry: str, now: float) -> None:
+    def mark_orphaned(self, entry: str, now: float) -> None:
         """Notes that an entry has gone; what runs keeps its place for now."""
         for known in self.backends.values():
             known.pauses.forget(entry)
-        for request_id in self.list_of_entry(entry):
-            self._where[request_id].forget_prompt(request_id)
-            placed = self._where[request_id].placed[request_id]
+        for request_id in self.list_requests_of_entry(entry):
+            self._backend_of[request_id].forget_prompt(request_id)
+            placed = self._backend_of[request_id].placed[request_id]
             if placed.orphaned_at is None:
                 placed.orphaned_at = now
 
     def free_orphans(self, now: float) -> None:
         """Takes back the places of requests whose entry is long gone."""
-        for request_id, backend in list(self._where.items()):
+        for request_id, backend in list(self._backend_of.items()):
             orphaned_at = backend.placed[request_id].orphaned_at
-            if orphaned_at is not None and now - orphaned_at > ORPHAN_S:
+            if orphaned_at is not None and now - orphaned_at > ORPHAN_TIMEOUT_S:
                 self.free(request_id)
 
-    def _renew(
+    def _replace_backend(
         self, info: backends.BackendInfo, former: backends.Backend | None
     ) -> None:
         """Begins a backend server's view; what runs there keeps its place.
@@ -350,12 +350,12 @@
         if learned and learned.run == info.run:
             new.take_speed(learned.speed)
         if hints := self._get_hints(info):
-            self._apply_hints(new, hints)
-        self._expect_speed(new)
+            self._apply_to_backend(new, hints)
+        self._assume_speed(new)
         self.backends[info.name] = new
         if former and former.info.run != info.run:
             for request_id in former.placed:
-                del self._where[request_id]
+                del self._backend_of[request_id]
             former = None
         if former:
             new.pauses = former.pauses
@@ -366,8 +366,8 @@
             moved.orphaned_at = placed.orphaned_at
             moved.asked_at = placed.asked_at
             moved.answers_since = placed.answers_since
-            self._where[request_id] = new
+            self._backend_of[request_id] = new
 
-    def _expect_speed(self, backend: backends.Backend) -> None:
+    def _assume_speed(self, backend: backends.Backend) -> None:
         if not backend.speed.is_learned:
-            backend.expect_speed_of(self.backends.values())
+            backend.assume_speed_of(self.backends.values())
--- a/ramptray/core/shard.py
+++ b/ramptray/core/shard.py
@@ -115,7 +115,7 @@
         step_s: float = 0.0,
     ) -> None:
         """Takes an engine's lagging load report."""
-        self.fleet.correct_load(
+        self.fleet.apply_load_report(
             name, running, versions, step_s, self._rules.version
         )
 
@@ -220,7 +220,7 @@
 
     def begin_sync(self, entry: str) -> None:
         """Begins the resynchronization of an entry that has attached."""
-        self._syncing[entry] = self.fleet.list_of_entry(entry)
+        self._syncing[entry] = self.fleet.list_requests_of_entry(entry)
         self._queue.discard_entry(entry)
 
     def lose_entry(self, entry: str, now: float) -> None:
@@ -228,7 +228,7 @@
         self._syncing.pop(entry, None)
         self._entries.discard(entry)
         self._queue.discard_entry(entry)
-        self.fleet.lose_entry(entry, now)
+        self.fleet.mark_orphaned(entry, now)
 
     def tick(self, now: float) -> list[owner_effect.ToEntry]:
         """Gives up what is past its deadline and frees lost places."""
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -514,7 +514,7 @@
     ) -> None:
         if report is None:
             for owner in self.shards.values():
-                owner.fleet.note_silence(name)
+                owner.fleet.note_missing_report(name)
             return
         for owner in self.shards.values():
             owner.correct_load(
@@ -541,7 +541,7 @@
         leaving = self._leaving_listed | self._leaving_said
         for owner in self.shards.values():
             for name in owner.fleet.backends:
-                left = name in leaving or not owner.fleet.wants(name)
+                left = name in leaving or not owner.fleet.is_configured(name)
                 owner.fleet.set_state(
                     name,
                     backend.BackendState.LEAVING
--- a/test/test_shard.py
+++ b/test/test_shard.py
@@ -246,9 +246,9 @@
     owner.receive("dead", message.Enqueue(make_info("r")), 1.0)
     assert len(owner.fleet.backends["e0"].placed) == 1
     owner.lose_entry("dead", 2.0)
-    owner.tick(2.0 + fleet.ORPHAN_S - 1)
+    owner.tick(2.0 + fleet.ORPHAN_TIMEOUT_S - 1)
     assert len(owner.fleet.backends["e0"].placed) == 1
-    owner.tick(2.0 + fleet.ORPHAN_S + 1)
+    owner.tick(2.0 + fleet.ORPHAN_TIMEOUT_S + 1)
     assert len(owner.fleet.backends["e0"].placed) == 0
 
 
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -165,5 +165,5 @@
         ended = message.Ended(f"r{number}", 10, 0.03, True)
         owner.receive("entry", ended, now + 0.53)
     known = owner.fleet.backends[ask(owner, "last", now=now + 1.0).backend]
-    assert known.get_lateness(now + 1.35) == 1.0
-    assert known.get_lateness(now + 4.0) > 1.0
+    assert known.get_slowdown(now + 1.35) == 1.0
+    assert known.get_slowdown(now + 4.0) > 1.0
--- a/test/test_waiting.py
+++ b/test/test_waiting.py
@@ -223,7 +223,7 @@
     again = msgspec.structs.replace(SHORT, request_id="again")
     assert send(owner, again, 1.1) == ["fast"]
     owner.receive("entry", message.FirstToken("again", 0.04, 300, 0), 1.14)
-    assert known.get_lateness(2.0) == 1.0
+    assert known.get_slowdown(2.0) == 1.0
 
 
 def test_late_requests_do_not_wait_in_vain_behind_those_in_time() -> None:
