--- a/ramptray/controller/reconciler.py
+++ b/ramptray/controller/reconciler.py
@@ -8,7 +8,7 @@
 
 from ramptray import steadyclock, timeline
 from ramptray.bundle import acceptance, model
-from ramptray.core import lease, placement
+from ramptray.core import engine_orders, lease
 from ramptray.engine import client as engine_client
 from ramptray.engine import orders
 
@@ -69,7 +69,7 @@
         assert self._held_since is not None
         young = now - self._held_since < TAKEOVER_S
         silent = len(wishes) - len(states)
-        for order in placement.plan_orders(
+        for order in engine_orders.plan_orders(
             wishes,
             states,
             bundle.weights.loads_at_once,
@@ -81,8 +81,8 @@
 
     async def _fetch_states(
         self, bundle: model.Bundle, names: list[str]
-    ) -> dict[str, placement.EngineState]:
-        states: dict[str, placement.EngineState] = {}
+    ) -> dict[str, engine_orders.EngineState]:
+        states: dict[str, engine_orders.EngineState] = {}
 
         async def fetch(name: str) -> None:
             url = bundle.backend_servers[name].url
@@ -104,7 +104,7 @@
         self._settled_since = self._settled_since or now
         return now - self._settled_since > SETTLE_S
 
-    async def _send(self, url: str, order: placement.Order) -> None:
+    async def _send(self, url: str, order: engine_orders.Order) -> None:
         """Gives one order, if the lease still covers its flight."""
         if not self._lease.may_order(steadyclock.read()):
             return
@@ -137,10 +137,12 @@
         )
 
 
-def make_wishes(bundle: model.Bundle, zone: str) -> dict[str, placement.Wish]:
+def make_wishes(
+    bundle: model.Bundle, zone: str
+) -> dict[str, engine_orders.DesiredState]:
     """Returns what the bundle declares for the engines of a zone."""
     return {
-        name: placement.Wish(
+        name: engine_orders.DesiredState(
             f"{server.service}@{bundle.services[server.service].version}",
             server.role,
         )
--- a/ramptray/core/availability.py
+++ b/ramptray/core/availability.py
@@ -10,7 +10,7 @@
 MAX_UNREACHABLE_S = 8.0
 """How long a refused connection keeps new work away at most, in seconds."""
 
-EJECT_BREAKS = 3
+EJECT_AFTER_BREAKS = 3
 """After so many answers in a row that broke off, new work stays away for a
 while: a backend server that fails at once always has room and would get all."""
 
@@ -21,7 +21,7 @@
 """Time in which two thirds of that part are forgotten, in seconds: a server
 that has recovered gets work again within the time of a few answers."""
 
-LOST_FAILURES = 4
+LOST_AFTER_FAILURES = 4
 """Refused connections in a row after which the server counts as lost."""
 
 
@@ -52,7 +52,7 @@
     @property
     def is_lost(self) -> bool:
         """Whether no request should wait for the server."""
-        return self.failures >= LOST_FAILURES
+        return self.failures >= LOST_AFTER_FAILURES
 
     def note_unreachable(self, now: float) -> None:
         """Keeps new work away after a refused connection, longer each time.
@@ -87,12 +87,12 @@
             self._note_refusal(refused, now)
         if broken or (refused and not paused):
             self.breaks += 1
-            if self.breaks >= EJECT_BREAKS:
+            if self.breaks >= EJECT_AFTER_BREAKS:
                 self.note_unreachable(now)
         elif whole:
             self.breaks = 0
 
-    def get_refused_part(self, now: float) -> float:
+    def get_refusal_rate(self, now: float) -> float:
         """Returns the part of requests that it probably turns away now."""
         if not self._refused_part:
             return 0.0
@@ -100,6 +100,6 @@
         return self._refused_part * math.exp(-age_s / REFUSAL_FORGET_S)
 
     def _note_refusal(self, refused: bool, now: float) -> None:
-        part = self.get_refused_part(now)
+        part = self.get_refusal_rate(now)
         self._refused_part = part + REFUSAL_WEIGHT * (refused - part)
         self._refused_at = now
--- a/ramptray/core/backend.py
+++ b/ramptray/core/backend.py
@@ -142,7 +142,7 @@
         self,
         info: BackendInfo,
         report_due_at: float = 0.0,
-        line: speeds.Line | None = None,
+        line: speeds.LatencyLine | None = None,
         rtt: rtts.RttEstimator | None = None,
     ) -> None:
         self.info = info
@@ -152,7 +152,7 @@
         self.pending: dict[str, PlacedRequest] = {}
         self.prefill_tokens = 0
         self.held_tokens = 0
-        self.speed = speeds.EngineSpeed(line or speeds.Line())
+        self.speed = speeds.EngineSpeed(line or speeds.LatencyLine())
         self.cache = prefix_cache.PrefixCache(
             info.cache_blocks * prefix_cache.BLOCK_TOKENS
         )
@@ -199,11 +199,11 @@
 
     def get_speed(self) -> message.Speed | None:
         """Returns the learned speed, if there is one."""
-        return self.speed.tell()
+        return self.speed.to_message()
 
-    def take_speed(self, speed: message.Speed) -> None:
+    def apply_speed(self, speed: message.Speed) -> None:
         """Takes a speed that another owner has learned."""
-        self.speed.take(speed)
+        self.speed.apply(speed)
 
     def choose_version(self, wanted: str) -> None:
         """Chooses the model version that new work there asks for.
@@ -359,7 +359,7 @@
         self.cache.add(request.prefix, request.prefix_tokens)
         return placed
 
-    def begin_answer(self, first: message.FirstToken, now: float) -> None:
+    def record_first_token(self, first: message.FirstToken, now: float) -> None:
         """Learns the speed with prompts from a first token.
 
         Prompts are read one after the other, so what a prompt takes by itself
@@ -399,13 +399,15 @@
         middle_s = self.estimate_alone((placed.uncached + whole) // 2)
         if took_s <= middle_s:
             return placed.uncached
-        self.cache.drop(placed.request.prefix)
+        self.cache.evict(placed.request.prefix)
         return whole
 
     def end(self, ended: message.Ended, now: float) -> None:
         """Frees the request's place and learns the decode speed."""
         placed = self.remove(ended.request_id)
-        pause_s = self.pauses.get_left(placed.entry, now) if placed else 0.0
+        pause_s = (
+            self.pauses.get_remaining_s(placed.entry, now) if placed else 0.0
+        )
         self.availability.note_end(
             ended.refused, ended.broken, ended.whole, now, pause_s > 0.0
         )
--- a/ramptray/core/candidate.py
+++ b/ramptray/core/candidate.py
@@ -22,7 +22,7 @@
 """Prefix blocks that are remembered, least recently placed first out."""
 
 
-class FreePool:
+class FreeBackendPool:
     """The backend servers with a free place, in no particular order."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         if place is not None:
             self._remove(name, place)
 
-    def take_window(self) -> list[backends.Backend]:
+    def next_window(self) -> list[backends.Backend]:
         """Returns the next few backend servers; all, if there are few."""
         count = len(self._list)
         if count <= WINDOW:
@@ -73,7 +73,7 @@
             self._places[last.info.name] = place
 
 
-class HolderIndex:
+class PrefixHolderIndex:
     """Remembers where requests with a prefix block went last."""
 
     def __init__(self) -> None:
--- a/ramptray/core/eligibility.py
+++ b/ramptray/core/eligibility.py
@@ -30,7 +30,7 @@
         """
         self._paused_until = max(until, self._paused_until)
 
-    def list_open_to(
+    def filter_eligible(
         self,
         candidates: list[backends.Backend],
         waiting: queue.Waiting,
@@ -39,11 +39,11 @@
         """Returns the candidates that a request may be sent to now."""
         return [
             candidate
-            for candidate in self.leave_out(candidates, waiting.request)
+            for candidate in self.filter_reachable(candidates, waiting.request)
             if candidate.pauses.allows(waiting.entry, now)
         ]
 
-    def leave_out(
+    def filter_reachable(
         self,
         candidates: list[backends.Backend],
         request: message.RequestInfo,
@@ -61,7 +61,7 @@
             left_out = never
         return [c for c in candidates if c.info.name not in left_out]
 
-    def is_out_of_reach(self, request: message.RequestInfo) -> bool:
+    def has_no_reachable_backend(self, request: message.RequestInfo) -> bool:
         """Returns whether the request's entry can reach none of them."""
         never = set(request.silent) | self._list_barred(request)
         return bool(self._backends) and not set(self._backends) - never
@@ -96,13 +96,15 @@
         )
         return min(
             (
-                known.pauses.get_left(waiting.entry, now)
-                for known in self.leave_out(list(usable), waiting.request)
+                known.pauses.get_remaining_s(waiting.entry, now)
+                for known in self.filter_reachable(
+                    list(usable), waiting.request
+                )
             ),
             default=0.0,
         )
 
-    def get_pause_of_all(self, entries: int, now: float) -> float:
+    def get_shortest_pause(self, entries: int, now: float) -> float:
         """Returns the seconds until some entry may send to some server.
 
         Args:
--- a/ramptray/core/placement.py
+++ b/ramptray/core/engine_orders.py
@@ -33,7 +33,7 @@
     argument: str
 
 
-class Wish(msgspec.Struct, frozen=True):
+class DesiredState(msgspec.Struct, frozen=True):
     """What the bundle declares for an engine.
 
     Attributes:
@@ -62,10 +62,10 @@
 
 
 def plan_orders(
-    wishes: dict[str, Wish],
+    desired: dict[str, DesiredState],
     states: dict[str, EngineState],
     loads_at_once: int,
-    unread_loads: int,
+    unreported_loads: int,
     may_unload: bool,
 ) -> list[Order]:
     """Returns the orders to give now.
@@ -74,30 +74,31 @@
     the old one, and nobody could still route to it.
 
     Args:
-        wishes: What the bundle declares, by backend server.
+        desired: What the bundle declares, by backend server.
         states: What the engines say; one that says nothing gets no order.
         loads_at_once: Loads that the weight store's budget allows.
-        unread_loads: Loads that may be under way on engines that say nothing.
+        unreported_loads: Loads that may be running on engines without a
+            report.
         may_unload: Whether every node works by the bundle in force.
     """
-    known = {name: states[name] for name in wishes if name in states}
+    known = {name: states[name] for name in desired if name in states}
     loading = sum(len(state.loading) for state in known.values())
-    free = max(0, loads_at_once - loading - unread_loads)
+    free = max(0, loads_at_once - loading - unreported_loads)
     missing = [
-        Order(OrderKind.LOAD, name, wishes[name].version)
+        Order(OrderKind.LOAD, name, desired[name].version)
         for name, state in known.items()
-        if wishes[name].version not in state.versions | state.loading
+        if desired[name].version not in state.versions | state.loading
     ]
     roles = [
-        Order(OrderKind.ROLE, name, wishes[name].role)
+        Order(OrderKind.ROLE, name, desired[name].role)
         for name, state in known.items()
-        if state.role != wishes[name].role
+        if state.role != desired[name].role
     ]
     surplus = [
         Order(OrderKind.UNLOAD, name, version)
         for name, state in known.items()
-        if may_unload and wishes[name].version in state.versions
-        for version in sorted(state.versions - {wishes[name].version})
+        if may_unload and desired[name].version in state.versions
+        for version in sorted(state.versions - {desired[name].version})
         if not state.running.get(version)
     ]
     return [*roles, *missing[:free], *surplus]
--- a/ramptray/core/fleet.py
+++ b/ramptray/core/fleet.py
@@ -39,11 +39,11 @@
         self._hints: dict[str, message.ServerHints] = {}
         self._wanted: frozenset[str] = frozenset()
         self._backend_of: dict[str, backends.Backend] = {}
-        self._line = speeds.Line()
+        self._line = speeds.LatencyLine()
         self._rtt = rtt.RttEstimator(0.0, backends.MAX_RTT_S)
         self._fastest: list[backends.Backend] = []
-        self._pool = candidate.FreePool()
-        self._holders = candidate.HolderIndex()
+        self._pool = candidate.FreeBackendPool()
+        self._holders = candidate.PrefixHolderIndex()
 
     def __contains__(self, request_id: str) -> bool:
         return request_id in self._backend_of
@@ -131,14 +131,14 @@
         if known := self.backends.get(name):
             known.report_due_at = 0.0
 
-    def take_speed(self, learned: message.SpeedLearned) -> None:
+    def apply_speed(self, learned: message.SpeedLearned) -> None:
         """Takes a speed that another owner has learned."""
         self._speeds[learned.backend] = learned
         known = self.backends.get(learned.backend)
         if known and known.info.run == learned.run:
-            known.take_speed(learned.speed)
+            known.apply_speed(learned.speed)
 
-    def take_hints(
+    def apply_hints(
         self, hints: message.ServerHints, entry: str, now: float
     ) -> None:
         """Takes what a backend server says of itself in its answers.
@@ -179,9 +179,9 @@
         """Returns every backend server."""
         return list(self.backends.values())
 
-    def take_window(self) -> list[backends.Backend]:
+    def next_window(self) -> list[backends.Backend]:
         """Returns the next few backend servers with a free place."""
-        return self._pool.take_window()
+        return self._pool.next_window()
 
     def add_holders(
         self, window: list[backends.Backend], request: message.RequestInfo
@@ -231,11 +231,11 @@
         backend = self._backend_of.get(request_id)
         return backend.placed.get(request_id) if backend else None
 
-    def begin_answer(self, first: message.FirstToken, now: float) -> None:
+    def record_first_token(self, first: message.FirstToken, now: float) -> None:
         """Learns from a first token, also for servers without a speed yet."""
         backend = self._backend_of[first.request_id]
         knew = backend.speed.is_learned
-        backend.begin_answer(first, now)
+        backend.record_first_token(first, now)
         if backend.speed.is_learned and not knew:
             for other in self.backends.values():
                 self._assume_speed(other)
@@ -282,8 +282,8 @@
         self, waiting: queue.Waiting, now: float
     ) -> list[backends.Backend]:
         """Returns the fastest backend servers that a request may go to."""
-        usable = self.eligibility.list_open_to(self._fastest, waiting, now)
-        return usable or self.eligibility.leave_out(
+        usable = self.eligibility.filter_eligible(self._fastest, waiting, now)
+        return usable or self.eligibility.filter_reachable(
             self.list_all(), waiting.request
         )
 
@@ -348,7 +348,7 @@
         new = backends.Backend(info, self._report_due_at, self._line, self._rtt)
         learned = self._speeds.get(info.name)
         if learned and learned.run == info.run:
-            new.take_speed(learned.speed)
+            new.apply_speed(learned.speed)
         if hints := self._get_hints(info):
             self._apply_to_backend(new, hints)
         self._assume_speed(new)
--- a/ramptray/core/granting.py
+++ b/ramptray/core/granting.py
@@ -132,7 +132,7 @@
         if not tier.count:
             return None
         self._demote_late_heads(tier, now)
-        window = self._selector.take_window() if only is None else only
+        window = self._selector.next_window() if only is None else only
         passed: list[queue.Waiting] = []
         for waiting in self._list_heads(tier, now):
             candidates = window
--- a/ramptray/core/pauses.py
+++ b/ramptray/core/pauses.py
@@ -26,7 +26,7 @@
         """
         self._until[entry] = max(until, self._until.get(entry, until))
 
-    def get_left(self, entry: str, now: float) -> float:
+    def get_remaining_s(self, entry: str, now: float) -> float:
         """Returns the seconds until an entry may send there, 0 for now."""
         if not self._until:
             return 0.0
--- a/ramptray/core/policy.py
+++ b/ramptray/core/policy.py
@@ -82,7 +82,7 @@
     """Chooses a backend server, or none to keep the request waiting."""
 
     name: str
-    looks_at_all = False
+    needs_all_backends = False
     """Whether it must be given every backend server of the shard."""
 
     @abc.abstractmethod
@@ -96,7 +96,9 @@
             candidates: Backend servers to choose from.
         """
 
-    def suits(self, demand: Demand, candidate: backends.Backend) -> bool:
+    def can_meet_objective(
+        self, demand: Demand, candidate: backends.Backend
+    ) -> bool:
         """Returns whether a request would be in time on an idle server."""
         return True
 
@@ -124,14 +126,16 @@
             return None
         return min(costs, key=lambda pair: pair[0])[1]
 
-    def suits(self, demand: Demand, candidate: backends.Backend) -> bool:
+    def can_meet_objective(
+        self, demand: Demand, candidate: backends.Backend
+    ) -> bool:
         """See the base class."""
         if not demand.has_objective:
             return True
         uncached = candidate.count_uncached(demand.request)
         alone_s = candidate.estimate_alone(uncached)
         wait_s = candidate.get_rate_wait(demand.now, demand.part)
-        pause_s = candidate.pauses.get_left(demand.entry, demand.now)
+        pause_s = candidate.pauses.get_remaining_s(demand.entry, demand.now)
         return demand.is_met(alone_s, max(demand.wait_s + wait_s, pause_s))
 
     def _find_cost(
@@ -157,7 +161,7 @@
             if self._holds_up(request, candidate, uncached):
                 return None
         cost = first_s + candidate.step_s * DECODE_WEIGHT_TOKENS
-        cost += candidate.availability.get_refused_part(now) * REFUSED_S
+        cost += candidate.availability.get_refusal_rate(now) * REFUSED_S
         decode_s = candidate.step_s * request.output_tokens
         late_s = now + cost + decode_s - demand.deadline
         return cost + max(0.0, late_s) * LATE_WEIGHT
@@ -178,7 +182,7 @@
 class BaselinePolicy(Policy):
     """Base of the baselines: they place at once, on any open engine."""
 
-    looks_at_all = True
+    needs_all_backends = True
 
     @abc.abstractmethod
     def pick(self, usable: list[backends.Backend]) -> backends.Backend:
--- a/ramptray/core/prefix_cache.py
+++ b/ramptray/core/prefix_cache.py
@@ -40,7 +40,7 @@
         while self._held > self._limit:
             self._held -= self._blocks.popitem(last=False)[1]
 
-    def drop(self, blocks: tuple[int, ...]) -> None:
+    def evict(self, blocks: tuple[int, ...]) -> None:
         """Notes that the engine has evicted these blocks."""
         for block in blocks:
             self._held -= self._blocks.pop(block, 0)
@@ -54,10 +54,10 @@
             prefix: The prompt's blocks.
             sizes: Tokens of each; empty for the usual number.
         """
-        count = self.count(prefix)
+        count = self.count_blocks(prefix)
         return sum(sizes[:count]) if sizes else count * BLOCK_TOKENS
 
-    def count(self, prefix: tuple[int, ...]) -> int:
+    def count_blocks(self, prefix: tuple[int, ...]) -> int:
         """Returns how many leading blocks are held, by binary search.
 
         Blocks are chained, so a block is held only if the ones before it are.
--- a/ramptray/core/selector.py
+++ b/ramptray/core/selector.py
@@ -42,17 +42,17 @@
         self._releases = releases
         self._is_suspect = is_suspect
 
-    def take_window(self) -> list[backends.Backend]:
+    def next_window(self) -> list[backends.Backend]:
         """Returns the backend servers that the next decision looks at."""
-        if self._policy.looks_at_all:
+        if self._policy.needs_all_backends:
             return self._fleet.list_all()
-        return self._fleet.take_window()
+        return self._fleet.next_window()
 
     def add_holders(
         self, window: list[backends.Backend], request: message.RequestInfo
     ) -> list[backends.Backend]:
         """Returns a window with those that may hold the request's prefix."""
-        if self._policy.looks_at_all:
+        if self._policy.needs_all_backends:
             return window
         return self._fleet.add_holders(window, request)
 
@@ -74,7 +74,9 @@
             ahead: Waiting requests of higher tiers; the places that they may
                 take are not for this one.
         """
-        usable = self._fleet.eligibility.list_open_to(candidates, waiting, now)
+        usable = self._fleet.eligibility.filter_eligible(
+            candidates, waiting, now
+        )
         usable = self._releases.list_open(usable)
         usable = separation.keep_apart(
             usable, waiting.request, self._is_suspect
@@ -98,7 +100,9 @@
             return False
         demand = self._make_demand(waiting, 1.0, now, wait_s)
         fastest = self._fleet.list_fastest(waiting, now)
-        return not any(self._policy.suits(demand, known) for known in fastest)
+        return not any(
+            self._policy.can_meet_objective(demand, known) for known in fastest
+        )
 
     def _exclude_reserved(
         self,
@@ -116,7 +120,7 @@
         reserved = {
             candidate.info.name
             for waiting in ahead
-            for candidate in self._fleet.eligibility.list_open_to(
+            for candidate in self._fleet.eligibility.filter_eligible(
                 candidates, waiting, now
             )
         }
--- a/ramptray/core/shard.py
+++ b/ramptray/core/shard.py
@@ -135,7 +135,9 @@
         """
         limited = (
             self._pace.get_rate_limit(now) is not None
-            or self.fleet.eligibility.get_pause_of_all(len(self._entries), now)
+            or self.fleet.eligibility.get_shortest_pause(
+                len(self._entries), now
+            )
             > 0.0
         )
         return summary.ShardSummary(
@@ -192,7 +194,7 @@
                 ]
             case message.FirstToken(request_id):
                 if backend := self.fleet.find(request_id):
-                    self.fleet.begin_answer(received, now)
+                    self.fleet.record_first_token(received, now)
                     return self.grant(now, [backend])
                 return []
             case message.Ended(request_id):
@@ -200,10 +202,10 @@
             case message.SyncDone():
                 self._finish_sync(entry)
             case message.SpeedLearned():
-                self.fleet.take_speed(received)
+                self.fleet.apply_speed(received)
                 return []
             case message.ServerHints():
-                self.fleet.take_hints(received, entry, now)
+                self.fleet.apply_hints(received, entry, now)
         return self.grant(now)
 
     def grant(
--- a/ramptray/core/shedding.py
+++ b/ramptray/core/shedding.py
@@ -152,7 +152,9 @@
 
         Its caller may come back to another VM.
         """
-        if not self._fleet.eligibility.is_out_of_reach(waiting.request):
+        if not self._fleet.eligibility.has_no_reachable_backend(
+            waiting.request
+        ):
             return []
         return [self._turn_away(waiting, now, message.Reason.NO_BACKEND)]
 
@@ -251,7 +253,7 @@
             least_s = OUT_OF_REACH_RETRY_S
         self._pace.count_refusal(waiting, now)
         # In a pause of all entries the queue is served from its end on.
-        pause_s = self._fleet.eligibility.get_pause_of_all(
+        pause_s = self._fleet.eligibility.get_shortest_pause(
             len(self._entries), now
         )
         wait_s = max(
--- a/ramptray/core/speed.py
+++ b/ramptray/core/speed.py
@@ -113,7 +113,7 @@
         return (self.products * self.count - self.xs * self.ys) / spread
 
 
-class Line:
+class LatencyLine:
     """Time to a first token by prompt size, for an engine with factor 1.
 
     Attributes:
@@ -134,7 +134,7 @@
         """Returns the seconds to the first token of a prompt."""
         return self.fixed_s + self.token_s * tokens
 
-    def take(self, speed: message.Speed) -> None:
+    def apply(self, speed: message.Speed) -> None:
         """Takes another owner's line, unless this one rests on answers."""
         if not self._has_learned:
             self._has_learned = True
@@ -183,7 +183,7 @@
             stands behind the factor.
     """
 
-    line: Line
+    line: LatencyLine
     factor: float = 1.0
     own_step_s: float | None = None
     is_learned: bool = False
@@ -242,15 +242,15 @@
         if self.is_learned:
             self.line.learn_step(step_s / self.factor, weight)
 
-    def take(self, speed: message.Speed) -> None:
+    def apply(self, speed: message.Speed) -> None:
         """Takes what another owner has learned."""
-        self.line.take(speed)
+        self.line.apply(speed)
         expected_s = self.line.estimate(PRIOR_TOKENS)
         self._set_factor(speed.estimate(PRIOR_TOKENS) / expected_s)
         self.own_step_s = speed.step_s
         self.is_learned = True
 
-    def tell(self) -> message.Speed | None:
+    def to_message(self) -> message.Speed | None:
         """Returns what is known, for other owners; None for nothing."""
         if not self.is_learned:
             return None
--- a/ramptray/engine/orders.py
+++ b/ramptray/engine/orders.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ramptray.core import placement
+from ramptray.core import engine_orders
 from ramptray.engine import client
 
 
@@ -28,7 +28,7 @@
     def __init__(self, engines: client.EngineClient) -> None:
         self._engines = engines
 
-    async def fetch_state(self, url: str) -> placement.EngineState:
+    async def fetch_state(self, url: str) -> engine_orders.EngineState:
         """Returns what an engine says of itself.
 
         Raises:
@@ -39,7 +39,7 @@
             state = msgspec.convert(answer, _State)
         except msgspec.ValidationError as error:
             raise client.BrokenError(f"{url}/orders: {error}") from error
-        return placement.EngineState(
+        return engine_orders.EngineState(
             frozenset(state.versions),
             frozenset(state.loading),
             state.role,
@@ -47,7 +47,7 @@
         )
 
     async def send(
-        self, url: str, order: placement.Order, fencing: int
+        self, url: str, order: engine_orders.Order, fencing: int
     ) -> None:
         """Gives an order.
 
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -428,7 +428,7 @@
             self.guard.evidence.is_suspect,
         )
         for entry, hints in self._learned.list_hints(now):
-            owner.fleet.take_hints(hints, entry, now)
+            owner.fleet.apply_hints(hints, entry, now)
         self.shards[key] = owner
         self._apply_rollout(key, owner)
         self._mark_leaving()
@@ -534,7 +534,7 @@
     ) -> None:
         for owner in self.shards.values():
             if known := owner.fleet.backends.get(name):
-                known.cache.drop(changes.removed)
+                known.cache.evict(changes.removed)
                 known.cache.add(changes.stored)
 
     def _mark_leaving(self) -> None:
--- a/test/limiting.py
+++ b/test/limiting.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass
-class Spell:
+class LimitPeriod:
     """A time in which a replica named a limit.
 
     Attributes:
@@ -67,7 +67,7 @@
     def __init__(
         self, harmer: harm.Harm, rng: random.Random, names: list[str]
     ) -> None:
-        self.spells: list[Spell] = []
+        self.spells: list[LimitPeriod] = []
         self._harm = harmer
         self._rng = rng
         self._names = names
@@ -77,7 +77,7 @@
         while not is_over():
             named = self._rng.sample(self._names, self._rng.choice((1, 1, 2)))
             spells = [
-                Spell(name, self._rng.choice(RATES), time.monotonic())
+                LimitPeriod(name, self._rng.choice(RATES), time.monotonic())
                 for name in named
             ]
             for spell in spells:
@@ -105,8 +105,8 @@
     )
 
 
-def judge(
-    spells: list[Spell],
+def check_limits(
+    spells: list[LimitPeriod],
     record: verdict.Record,
     arrivals: Mapping[str, list[tuple[float, str]]],
 ) -> promise.Promise:
--- a/test/soak.py
+++ b/test/soak.py
@@ -276,7 +276,7 @@
             for name in self._platform.replicas
         }
         spells = self._limiter.spells
-        return [limiting.judge(spells, self.record, arrivals)]
+        return [limiting.check_limits(spells, self.record, arrivals)]
 
     def _judge_crashes(
         self, judge: verdict.Verdict, runs: Mapping[str, list[str]]
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -281,7 +281,7 @@
     # hanbit-qlog, inc-a19c: a replica that reset each connection always had
     # room, and got the next request at once.
     server = backend.Backend(backend.BackendInfo("b", 4, 10_000, 0))
-    for number in range(availability.EJECT_BREAKS):
+    for number in range(availability.EJECT_AFTER_BREAKS):
         assert server.is_open(1.0)
         info = make_info(request_id=str(number))
         server.place(info, "e", "g", 1.0)
--- a/test/test_orders.py
+++ b/test/test_orders.py
@@ -10,12 +10,12 @@
 from hypothesis import strategies as st
 
 from bench import deployment
-from ramptray.core import placement
+from ramptray.core import engine_orders
 from test import test_path
 
 OLD, NEW = "assistant@1", "assistant@2"
 STATES = st.builds(
-    placement.EngineState,
+    engine_orders.EngineState,
     versions=st.frozensets(st.sampled_from([OLD, NEW])),
     loading=st.frozensets(st.sampled_from([NEW])),
     role=st.just("any"),
@@ -31,14 +31,18 @@
     may_unload=st.booleans(),
 )
 def test_orders_keep_to_the_budget_and_unload_nothing_in_use(
-    states: dict[str, placement.EngineState],
+    states: dict[str, engine_orders.EngineState],
     budget: int,
     silent: int,
     may_unload: bool,
 ) -> None:
-    wishes = {name: placement.Wish(NEW, "any") for name in "abcdef"}
-    orders = placement.plan_orders(wishes, states, budget, silent, may_unload)
-    kinds = placement.OrderKind
+    desired = {
+        name: engine_orders.DesiredState(NEW, "any") for name in "abcdef"
+    }
+    orders = engine_orders.plan_orders(
+        desired, states, budget, silent, may_unload
+    )
+    kinds = engine_orders.OrderKind
     loads = [o for o in orders if o.kind is kinds.LOAD]
     loading = sum(len(state.loading) for state in states.values())
     assert not loads or len(loads) + loading + silent <= budget
--- a/test/test_prefix_placement.py
+++ b/test/test_prefix_placement.py
@@ -132,7 +132,7 @@
         if added:
             cache.add(tuple(blocks), tuple(100 * (b + 1) for b in blocks))
         else:
-            cache.drop(tuple(blocks))
+            cache.evict(tuple(blocks))
         assert cache._held == sum(cache._blocks.values()) <= 1000
 
 
--- a/test/test_scenario.py
+++ b/test/test_scenario.py
@@ -294,7 +294,9 @@
             )
             owner.fleet.backends[name].place(info, "entry", "", world.now)
             first = message.FirstToken(info.request_id, 0.22, 400, 0)
-            owner.fleet.backends[name].begin_answer(first, world.now + 0.22)
+            owner.fleet.backends[name].record_first_token(
+                first, world.now + 0.22
+            )
             ended = message.Ended(info.request_id, 20, 0.4, True)
             owner.fleet.backends[name].end(ended, world.now)
 
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -281,10 +281,10 @@
     )
     owner = make_owner()
     for entry, hints in book.list_hints(1.0):
-        owner.fleet.take_hints(hints, entry, 1.0)
+        owner.fleet.apply_hints(hints, entry, 1.0)
     known = owner.fleet.backends["s0"]
     assert known.limit_per_s == 2.0
-    assert known.pauses.get_left("entry", 1.0) == 2.0
+    assert known.pauses.get_remaining_s("entry", 1.0) == 2.0
     assert known.pauses.allows("other", 1.0)
     assert len(book.list_hints(4.0)) == 1
 
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -127,13 +127,13 @@
     # ended with "ZeroDivisionError: float division by zero" where they tell a
     # speed.  Each answer that makes long prompts seem quicker than short ones
     # halves the time for a prompt token; here it is 0 after 1,043 answers.
-    learned = speed.EngineSpeed(speed.Line())
+    learned = speed.EngineSpeed(speed.LatencyLine())
     for number in range(20_000):
         if number % 2:
             learned.learn_first(100, 0.3)
         else:
             learned.learn_first(4000, 0.05)
-        told = learned.tell()
+        told = learned.to_message()
     assert told is not None
     assert told.prefill_rate > 0
     # Both parts stay near what was seen instead of drifting apart.
@@ -141,15 +141,15 @@
 
 
 def test_a_speed_that_is_told_can_always_be_taken() -> None:
-    learned = speed.EngineSpeed(speed.Line())
+    learned = speed.EngineSpeed(speed.LatencyLine())
     for _ in range(50):
         learned.learn_first(1, 60.0)
         learned.learn_first(2, 120.0)
-    told = learned.tell()
+    told = learned.to_message()
     assert told is not None
-    other = speed.EngineSpeed(speed.Line())
-    other.take(told)
-    assert other.tell() is not None
+    other = speed.EngineSpeed(speed.LatencyLine())
+    other.apply(told)
+    assert other.to_message() is not None
 
 
 def test_busy_entries_do_not_make_engines_look_slow() -> None:
--- a/test/test_waiting.py
+++ b/test/test_waiting.py
@@ -70,7 +70,7 @@
         info = msgspec.structs.replace(SHORT, request_id=taken)
         owner.fleet.place(info, owner.fleet.backends[name], "entry", "", 0.5)
         first = message.FirstToken(taken, 0.1, 300, 0)
-        owner.fleet.begin_answer(first, 0.6)
+        owner.fleet.record_first_token(first, 0.6)
     return names
 
 
