--- a/ramptray/scheduler/distributor.py
+++ b/ramptray/scheduler/distributor.py
@@ -139,9 +139,9 @@
         self._client = client
         self._streams = {each.reader.stream: each for each in streams}
         self._position: tree.Place | None = None
-        named = list(seeds)
-        self._seeds = tuple(s for s in named if s != me.address)
-        waits = first_start and me.address not in named and self._seeds
+        all_seeds = list(seeds)
+        self._seeds = tuple(s for s in all_seeds if s != me.address)
+        waits = first_start and me.address not in all_seeds and self._seeds
         # Until then nobody misses what is not known yet.
         self._first_start_until = (
             steadyclock.read() + FIRST_START_WAIT_S * bool(waits)
@@ -188,41 +188,43 @@
         """Takes the VMs that are alive."""
         others = [m for m in members if m.vm != self._me.vm]
         # Alone, it may just not have met the others yet.
-        place = tree.find_place(self._me, others) if others else None
-        if place == self._position:
+        position = tree.find_place(self._me, others) if others else None
+        if position == self._position:
             return
-        self._position = place
+        self._position = position
         self.wake()
         LOG.info(
             "place in the distribution",
-            extra=msgspec.to_builtins(place) if place else {"alone": True},
+            extra=msgspec.to_builtins(position)
+            if position
+            else {"alone": True},
         )
 
     # Telling others.
 
     async def serve_updates(
-        self, asked: peer_message.FollowStreams
+        self, request: peer_message.FollowStreams
     ) -> peer_message.ToldStreams:
         """Returns what another VM lacks, as soon as there is anything."""
-        known_at = steadyclock.read() - asked.known_s
-        with anyio.move_on_after(asked.wait_s):
-            while not self._has_updates(asked, known_at):
+        known_at = steadyclock.read() - request.known_s
+        with anyio.move_on_after(request.wait_s):
+            while not self._has_updates(request, known_at):
                 await self._changed.wait()
         now = steadyclock.read()
         outage = self.get_outage(now)
-        told = []
+        updates = []
         for name, each in self._streams.items():
             if each.reader.end is None:
                 continue
-            news = each.mirror.tell(name, asked.ends.get(name, -1))
-            news = msgspec.structs.replace(
-                news,
+            update = each.mirror.tell(name, request.ends.get(name, -1))
+            update = msgspec.structs.replace(
+                update,
                 age_s=now - each.reader.fresh_at,
                 trouble_s=outage.ago_s,
                 returned_s=outage.returned_s,
             )
-            told.append(news)
-        return peer_message.ToldStreams(told)
+            updates.append(update)
+        return peer_message.ToldStreams(updates)
 
     def _notify_followers(self) -> None:
         """Has those answered that wait for news."""
@@ -230,18 +232,18 @@
         self._changed = anyio.Event()
 
     def _has_updates(
-        self, asked: peer_message.FollowStreams, known_at: float
+        self, request: peer_message.FollowStreams, known_at: float
     ) -> bool:
         """Returns whether an answer is due.
 
         Args:
-            asked: What was asked.
+            request: The request.
             known_at: As of when the asker knows the log.
         """
         if self._get_fresh_at() > known_at + MIN_AGE_GAIN_S:
             return True
         return any(
-            (each.reader.end or 0) > asked.ends.get(name, -1)
+            (each.reader.end or 0) > request.ends.get(name, -1)
             for name, each in self._streams.items()
         )
 
@@ -304,17 +306,18 @@
         """
         request = self._make_request(wait_s)
         try:
-            told = await self._client.ask(
+            answer = await self._client.ask(
                 address, request, wait_s + ANSWER_MARGIN_S
             )
         except peer_link.LinkError as error:
             LOG.debug("no news from another VM: %s", error)
             return False
         received_at = steadyclock.read()
-        taken = [
-            await self._apply(address, news, received_at) for news in told.news
+        results = [
+            await self._apply(address, update, received_at)
+            for update in answer.news
         ]
-        return any(taken)
+        return any(results)
 
     def _make_request(self, wait_s: float) -> peer_message.FollowStreams:
         ends = {
@@ -329,24 +332,24 @@
         return peer_message.FollowStreams(ends, known_s, wait_s)
 
     async def _apply(
-        self, address: str, news: peer_message.StreamNews, received_at: float
+        self, address: str, update: peer_message.StreamNews, received_at: float
     ) -> bool:
         """Takes news of a stream; tells whether they are new."""
-        each = self._streams.get(news.stream)
-        if each is None or news.end < (each.reader.end or 0):
+        each = self._streams.get(update.stream)
+        if each is None or update.end < (each.reader.end or 0):
             return False
         try:
-            changes = each.mirror.unpack(news)
+            changes = each.mirror.unpack(update)
         except mirrors.MirrorError as error:
-            self._record_damage(address, news.stream, str(error))
+            self._record_damage(address, update.stream, str(error))
             return False
-        self._damaged_streams.discard(news.stream)
-        self.on_outage(LogOutage(news.trouble_s, news.returned_s))
-        fresh_at = received_at - max(0.0, news.age_s)
-        await each.reader.take_told(changes, news.whole, fresh_at, address)
-        is_new = fresh_at > self._updated_at[news.stream]
-        self._updated_at[news.stream] = max(
-            self._updated_at[news.stream], fresh_at
+        self._damaged_streams.discard(update.stream)
+        self.on_outage(LogOutage(update.trouble_s, update.returned_s))
+        fresh_at = received_at - max(0.0, update.age_s)
+        await each.reader.take_told(changes, update.whole, fresh_at, address)
+        is_new = fresh_at > self._updated_at[update.stream]
+        self._updated_at[update.stream] = max(
+            self._updated_at[update.stream], fresh_at
         )
         self._notify_followers()
         return is_new
@@ -369,10 +372,12 @@
 
     def _should_watch(self, now: float) -> bool:
         """Returns whether this VM reads the log itself."""
-        place = self._position
-        if now < self._first_start_until and (place is None or not place.reads):
+        position = self._position
+        if now < self._first_start_until and (
+            position is None or not position.reads
+        ):
             return False
-        if place is None or place.reads:
+        if position is None or position.reads:
             return True
         if self._get_lag_s(now) > MAX_LAG_S:
             return True
@@ -388,11 +393,11 @@
         """Returns when this VM reads the log itself if it is told nothing."""
         if self._position is None or self._position.reads:
             return self._first_start_until
-        turn_s = min(
+        delay_s = min(
             self._position.turn * TAKEOVER_STEP_S, MAX_TAKEOVER_DELAY_S
         )
         updated_at = min(self._updated_at.values())
-        return max(updated_at, self._first_start_until) + MAX_AGE_S + turn_s
+        return max(updated_at, self._first_start_until) + MAX_AGE_S + delay_s
 
 
 def _report_no_outage(now: float) -> LogOutage:
--- a/ramptray/scheduler/follower.py
+++ b/ramptray/scheduler/follower.py
@@ -75,7 +75,7 @@
 
     Args:
         log: The platform's log.
-        trust: Who may sign the first bundle.
+        operators: Who may sign the first bundle.
         client: Asks peers.
         rng: Spreads the checkpoints over the schedulers.
         on_change: Called with each bundle that comes into force.
@@ -84,15 +84,15 @@
     def __init__(
         self,
         log: log_client.Log,
-        trust: model.Operators,
+        operators: model.Operators,
         client: peer_link.PeerClient,
         rng: random.Random,
         on_change: Callable[[acceptance.InForce], None],
     ) -> None:
         super().__init__(client, FETCH_TIMEOUT_S)
         self._log = log
-        self._trust = trust
-        self._acceptance = acceptance.Acceptance(trust)
+        self._operators = operators
+        self._acceptance = acceptance.Acceptance(operators)
         self._reader = _BundleReader(log, self)
         self._rng = rng
         self._on_change = on_change
@@ -149,10 +149,10 @@
             self._reader.check_underway()
 
     def accept_from_peer(
-        self, address: str, told: peer_message.FetchedBundle
+        self, address: str, answer: peer_message.FetchedBundle
     ) -> None:
         """See the base class."""
-        if told.envelope and self._acceptance.learn(told.envelope):
+        if answer.envelope and self._acceptance.learn(answer.envelope):
             self._announce()
 
     @property
@@ -167,10 +167,10 @@
     def _restart_from_oldest(self) -> None:
         """Begins at the oldest record, since no checkpoint was found."""
         LOG.warning("no checkpoint among the recent records")
-        whole = acceptance.Acceptance(self._trust)
+        fresh = acceptance.Acceptance(self._operators)
         if self.in_force:
-            whole.learn(self.in_force.envelope)
-        self._acceptance = whole
+            fresh.learn(self.in_force.envelope)
+        self._acceptance = fresh
 
     async def apply_page(self, page: log_client.Page) -> None:
         """Judges the records that were read."""
@@ -193,8 +193,8 @@
 
     def _needs_older_records(self, first_retained: int) -> bool:
         """Returns whether older records might help and were not read."""
-        unjoined = self._acceptance.log_view is None
-        return unjoined and self._acceptance.first_read > first_retained
+        has_no_view = self._acceptance.log_view is None
+        return has_no_view and self._acceptance.first_read > first_retained
 
     async def _append_checkpoint_if_due(self) -> None:
         """Leaves a checkpoint now and then, so that the log may forget.
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -65,11 +65,11 @@
     """What became of a probe.
 
     Attributes:
-        decided: Set once it was answered, or cannot be any more.
+        is_known: Set once it was answered, or cannot be any more.
         answered: Whether it was answered.
     """
 
-    decided: anyio.Event
+    is_known: anyio.Event
     answered: bool = False
 
 
@@ -333,7 +333,7 @@
             return outcome.answered
         self._tasks.start_soon(self._ask, address, outcome)
         with anyio.move_on_after(max(timeout_s, self._rtt.timeout_s)):
-            await outcome.decided.wait()
+            await outcome.is_known.wait()
         return outcome.answered
 
     async def _ask(self, address: str, outcome: _ProbeOutcome) -> None:
@@ -344,12 +344,12 @@
             )
         except peer_link.LinkError:
             self._contacts.remove_address(address)
-            outcome.decided.set()
+            outcome.is_known.set()
             return
         self._rtt.observe(steadyclock.read() - began)
         self._apply_answer(answer)
         outcome.answered = True
-        outcome.decided.set()
+        outcome.is_known.set()
         sender = answer.sender
         if sender.generation > self.membership.me.generation:
             await self._on_newer(sender.address, sender.generation)
@@ -376,13 +376,13 @@
 
     def _make_message(self) -> peer_message.Gossip:
         contacts = self._contacts.list_all()
-        told = min(CONTACTS_PER_MESSAGE, len(contacts))
+        count = min(CONTACTS_PER_MESSAGE, len(contacts))
         return peer_message.Gossip(
             self.membership.me,
             self.membership.pick_updates(),
             # They are for schedulers of other zones.
             self.summaries.pick(steadyclock.read()) if contacts else [],
-            self._rng.sample(contacts, told),
+            self._rng.sample(contacts, count),
             self._bundle_source.list_stream_ends()
             if self._bundle_source
             else {},
--- a/ramptray/scheduler/handler.py
+++ b/ramptray/scheduler/handler.py
@@ -45,22 +45,22 @@
         """See the base class."""
         self._hub.post(event.Closed(session))
 
-    async def answer(self, question: Any) -> Any:
+    async def answer(self, request: Any) -> Any:
         """See the base class."""
-        match question:
+        match request:
             case peer_message.Gossip():
-                answer = self._gossiper.receive(question)
+                answer = self._gossiper.receive(request)
                 mine = self._gossiper.membership.me.generation
-                if question.sender.generation > mine:
-                    sender = question.sender
+                if request.sender.generation > mine:
+                    sender = request.sender
                     await self._bundle_source.fetch(
                         sender.address, sender.generation
                     )
                 return answer
             case peer_message.FetchBundle():
-                return self._bundle_source.serve_bundle(question)
+                return self._bundle_source.serve_bundle(request)
             case peer_message.FollowStreams():
-                return await self._bundle_source.serve_streams(question)
+                return await self._bundle_source.serve_streams(request)
             case peer_message.AskStatus():
                 return peer_message.Status(
                     status.make_report(
@@ -73,22 +73,22 @@
                 self._hub.blocks.lift(content, steadyclock.read())
                 return self._list_blocks()
             case peer_message.AskTimeline():
-                return await self._collect_events(question)
-        raise ValueError(f"no question: {type(question).__name__}")
+                return await self._collect_events(request)
+        raise ValueError(f"no request: {type(request).__name__}")
 
     def _list_blocks(self) -> peer_message.BlockedContents:
         news = self._hub.blocks.list_news(steadyclock.read())
         return peer_message.BlockedContents(news)
 
     async def _collect_events(
-        self, question: peer_message.AskTimeline
+        self, request: peer_message.AskTimeline
     ) -> peer_message.TimelineEvents:
         """Returns the events of this VM's processes that answer in time."""
-        events = self._timeline.list_events(question.after, question.subject)
+        events = self._timeline.list_events(request.after, request.subject)
         send, receive = anyio.create_memory_object_stream[
             peer_message.TimelineEvents
         ](MAX_ATTACHED_PROCESSES)
-        self._hub.post(event.EventsWanted(question, send))
+        self._hub.post(event.EventsWanted(request, send))
         with anyio.move_on_after(COLLECT_TIMEOUT_S):
             async for answer in receive:
                 events.extend(answer.events)
--- a/ramptray/scheduler/source.py
+++ b/ramptray/scheduler/source.py
@@ -52,7 +52,7 @@
 
     @abc.abstractmethod
     def accept_from_peer(
-        self, address: str, told: peer_message.FetchedBundle
+        self, address: str, answer: peer_message.FetchedBundle
     ) -> None:
         """Takes the bundle that a peer has handed over."""
 
@@ -77,7 +77,7 @@
         self.set_watching(me.vm in watchers)
 
     async def serve_streams(
-        self, asked: peer_message.FollowStreams
+        self, request: peer_message.FollowStreams
     ) -> peer_message.ToldStreams:
         """Returns what a peer lacks of the streams, if they are passed on."""
         return peer_message.ToldStreams([])
@@ -107,10 +107,10 @@
         self.accept_from_peer(address, answer)
 
     def serve_bundle(
-        self, question: peer_message.FetchBundle
+        self, request: peer_message.FetchBundle
     ) -> peer_message.FetchedBundle:
         """Returns the bundle in force if it is newer than the peer's."""
         current = self.in_force
-        if current is None or current.generation <= question.above:
+        if current is None or current.generation <= request.above:
             return peer_message.FetchedBundle(None)
         return peer_message.FetchedBundle(current.envelope)
--- a/ramptray/scheduler/summaries.py
+++ b/ramptray/scheduler/summaries.py
@@ -22,12 +22,14 @@
 
     def put(self, own: Iterable[summary.ShardSummary], now: float) -> None:
         """Takes the summaries of this scheduler's own shards."""
-        for mine in own:
-            self._known[mine.shard.format()] = (now, mine)
+        for own_summary in own:
+            self._known[own_summary.shard.format()] = (now, own_summary)
 
-    def merge(self, told: Iterable[summary.ShardSummary], now: float) -> None:
+    def merge(
+        self, summaries: Iterable[summary.ShardSummary], now: float
+    ) -> None:
         """Takes what a peer told, as far as it is newer."""
-        for other in told:
+        for other in summaries:
             key = other.shard.format()
             known = self._known.get(key)
             if known is None or other.version > known[1].version:
@@ -52,9 +54,9 @@
             return []
         start = self._next_index % len(fresh)
         self._next_index += SUMMARIES_PER_MESSAGE
-        ring = itertools.islice(itertools.cycle(fresh), start, None)
+        rotation = itertools.islice(itertools.cycle(fresh), start, None)
         count = min(SUMMARIES_PER_MESSAGE, len(fresh))
-        return list(itertools.islice(ring, count))
+        return list(itertools.islice(rotation, count))
 
     def _list_fresh(self, now: float) -> list[summary.ShardSummary]:
         return [
