--- a/ramptray/scheduler/__init__.py
+++ b/ramptray/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler process: shards, membership and the bundle."""
+"""The scheduler process: shards, membership and bundle distribution."""
--- a/ramptray/scheduler/block_sync.py
+++ b/ramptray/scheduler/block_sync.py
@@ -1,4 +1,4 @@
-"""The task that keeps blocks where they outlive all VMs."""
+"""Saves blocks to the log and loads them, so that they outlive all VMs."""
 
 from __future__ import annotations
 
@@ -17,30 +17,34 @@
 LOG = logging.getLogger(__name__)
 
 MAX_ATTEMPTS = 8
-"""How often the log is tried for one block, or for all at the start.  With the
-pauses between, that is 46 s: longer outages are over for callers, too."""
+"""Attempts to save a block, or to load all blocks at the start.  With the
+backoff in between they span 46 s; callers do not wait through longer outages
+either."""
 
 INITIAL_BACKOFF_S = 0.25
 MAX_BACKOFF_S = 15.0
-"""Pauses between two attempts, in seconds; each is twice the one before."""
+"""Limit of the pause between attempts, in seconds; it doubles each time."""
 
 MIN_RELOAD_INTERVAL_S = 1.0
-"""Shortest time between two reads that crashes ask for, in seconds: in a wave
-of them one is enough, and each call to the platform's store has a price."""
+"""Shortest time between two loads triggered by crashes, in seconds.  One load
+serves a whole wave of crashes, and each call to the platform's store has a
+cost."""
 
 MAX_PENDING_SAVES = 256
-"""Blocks that may wait to be kept; more at once are no single requests."""
+"""Size of the queue of blocks to save.  A larger burst does not come from single
+poison requests."""
 
 
 class BlockSync:
-    """Saves what this VM decides, and loads what was decided before it started.
+    """Saves this VM's blocks to the log and loads earlier ones from it.
 
-    What other VMs tell is saved by them.
+    Blocks learned from other VMs are not saved here; their VMs do that.
 
     Args:
-        block_log: Where blocks are kept.
-        blocks: The blocks that this VM knows of.
-        load_at_start: Whether anything can have been kept before.
+        block_log: Storage of blocks.
+        blocks: The blocks known to this VM.
+        load_at_start: Whether to load blocks at the start; not needed when
+            none can have been saved yet.
         read_clock: Returns the time of day in Unix seconds.
     """
 
@@ -64,7 +68,7 @@
         blocks.on_decision(self._enqueue)
 
     async def run(self) -> None:
-        """Loads, then saves and reads again until cancelled."""
+        """Saves blocks, and loads them on request, until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._run_saves)
             if self._load_at_start:
@@ -76,9 +80,10 @@
                 await anyio.sleep(MIN_RELOAD_INTERVAL_S)
 
     def request_reload(self) -> None:
-        """Has the log read, since a backend server has ended.
+        """Requests a load, after a backend server has crashed.
 
-        Beyond a cut, or before a restart, somebody may have found out why.
+        VMs on the other side of a network partition, or this VM before its
+        restart, may already have blocked the content that caused the crash.
         """
         self._reload_requested.set()
 
@@ -87,7 +92,7 @@
             await self._save(news)
 
     def save_all(self) -> None:
-        """Saves all blocks, as the log may have lost some."""
+        """Saves all known blocks, as the log may have lost some."""
         self._enqueue(self._blocks.list_news(steadyclock.read()))
 
     def _enqueue(self, news: list[blocklist.BlockNews]) -> None:
@@ -95,7 +100,10 @@
             try:
                 self._send.send_nowait(each)
             except anyio.WouldBlock:
-                LOG.warning("block not kept", extra={"content": each.content})
+                LOG.warning(
+                    "block not saved: queue is full",
+                    extra={"content": each.content},
+                )
 
     async def _load(self, attempts: int = MAX_ATTEMPTS) -> None:
         backoff_s = INITIAL_BACKOFF_S
@@ -103,7 +111,9 @@
             try:
                 found = await self._block_log.load()
             except log_error.LogError as error:
-                LOG.warning("blocks not read", extra={"detail": str(error)})
+                LOG.warning(
+                    "could not load blocks", extra={"detail": str(error)}
+                )
                 await anyio.sleep(backoff_s)
                 backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
                 continue
@@ -139,7 +149,7 @@
                 await self._block_log.save(stored)
             except log_error.LogError as error:
                 LOG.warning(
-                    "block not kept yet",
+                    "could not save block",
                     extra={"content": news.content, "detail": str(error)},
                 )
                 await anyio.sleep(backoff_s)
@@ -147,4 +157,7 @@
                 continue
             LOG.info("block kept", extra={"content": news.content})
             return
-        LOG.error("block not kept", extra={"content": news.content})
+        LOG.error(
+            "block not saved: all attempts failed",
+            extra={"content": news.content},
+        )
--- a/ramptray/scheduler/contact.py
+++ b/ramptray/scheduler/contact.py
@@ -1,18 +1,18 @@
-"""Schedulers of other zones that a scheduler keeps in touch with."""
+"""Known schedulers of other zones."""
 
 from __future__ import annotations
 
 from ramptray.core import membership
 
 CONTACTS_PER_ZONE = 4
-"""Schedulers of each other zone that are remembered."""
+"""Maximum number of contacts kept for each other zone."""
 
 
 class Contacts:
     """A few live schedulers of each other zone.
 
     Args:
-        zone: The own zone.
+        zone: Zone of this scheduler, of which no contacts are kept.
     """
 
     def __init__(self, zone: str) -> None:
@@ -20,7 +20,7 @@
         self._zones: dict[str, dict[str, membership.Member]] = {}
 
     def list_all(self) -> list[membership.Member]:
-        """Returns all of them."""
+        """Returns the contacts of all zones."""
         return [
             member
             for members in self._zones.values()
@@ -28,7 +28,7 @@
         ]
 
     def update(self, member: membership.Member) -> None:
-        """Takes what was told of a scheduler of any zone."""
+        """Adds, updates or removes a contact by a received member record."""
         if member.zone == self._zone:
             return
         contacts = self._zones.setdefault(member.zone, {})
@@ -42,7 +42,7 @@
             contacts.pop(next(iter(contacts)))
 
     def remove_address(self, address: str) -> None:
-        """Forgets whoever did not answer at an address."""
+        """Removes the contacts at an address that did not answer."""
         for contacts in self._zones.values():
             for vm, member in list(contacts.items()):
                 if member.address == address:
--- a/ramptray/scheduler/distributor.py
+++ b/ramptray/scheduler/distributor.py
@@ -1,10 +1,11 @@
-"""Tells VMs what the log's keyed streams have, from VM to VM.
-
-Load pattern: hundreds of VMs want each change within a second or two, and each
-reading the log costs a call a VM a change, and the whole of a large value over
-the slowest link.  Here a few read (``core.tree``), and a change travels as its
-difference.  A VM that is not told anything for a while reads the log itself,
-one of a zone after the other.
+"""Distributes the log's keyed streams from VM to VM.
+
+Load pattern: hundreds of VMs need each change within one or two seconds.  If
+every VM read the log, each change would cost one call per VM and would transfer
+large values in full, even over the slowest link.  Instead a few VMs read the
+log (``core.tree``) and send changes on to the others as differences.  A VM that
+receives no updates for a while reads the log itself; the VMs of a zone start
+doing so one after the other.
 """
 
 from __future__ import annotations
@@ -27,71 +28,73 @@
 LOG = logging.getLogger(__name__)
 
 POLL_WAIT_S = 1.3
-"""How long a VM waits for news of another one, in seconds: that one hears of
-the log's state once a second, and tells at once."""
+"""How long a request to another VM may wait for updates, in seconds.  That VM
+learns the log's state once a second and answers at once."""
 
 ANSWER_MARGIN_S = 0.4
-"""How much longer than it waits an answer may take, in seconds: 200 KB on a
-link of 5 Mbit/s, or a VM that is short of processor time."""
+"""Time allowed for an answer beyond its wait, in seconds: enough to transfer
+200 KB over a link of 5 Mbit/s, or for a VM that is short of CPU time."""
 
 RETRY_PAUSE_S = 0.3
-"""Pause after a VM told nothing new, in seconds, so that one that is behind or
-lies is not asked on and on; the other source goes on."""
+"""Pause after an answer without anything new, in seconds, so that a VM that
+lags behind or sends wrong data is not polled in a tight loop.  The other source
+is polled meanwhile."""
 
 MAX_AGE_S = 1.5
-"""Age of what is known from which on a VM reads the log itself, in seconds:
-readers learn its state once a second, and a change must be in force two seconds
-after it was made."""
+"""Age of the last update at which a VM starts to read the log itself, in
+seconds.  Readers learn the log's state once a second, and a change must be in
+force two seconds after it was made."""
 
 TAKEOVER_STEP_S = 0.1
-"""Time between two VMs of a zone that begin to read the log themselves, in
-seconds: the first ones tell the others."""
+"""Delay between two VMs of a zone that start to read the log themselves, in
+seconds, so that the first ones can update the others."""
 
 MAX_TAKEOVER_DELAY_S = 2.0
-"""Longest time that such a VM leaves to those before it, in seconds."""
+"""Longest such delay in total, in seconds."""
 
 SECOND_SOURCE_AGE_S = 1.2
-"""Age of what is known from which on the second source is asked too, in
-seconds: the first one tells once a second.  Asking both all the time would
-double the questions of an idle VM."""
+"""Age of the last update at which the second source is polled too, in seconds.
+The first one sends an update once a second.  Polling both all the time would
+double the requests of an idle VM."""
 
 SECOND_SOURCE_LAG_S = 0.1
-"""How long records that there are may be missing before the second source is
-asked too, in seconds: soon enough that it answers before this VM reads."""
+"""How long known records may be missing before the second source is polled too,
+in seconds: short enough for its answer to arrive before this VM reads the log
+itself."""
 
 MAX_LAG_S = 0.4
-"""How long they may be missing before a VM reads the log itself, in seconds: it
-then takes whole values, where another VM tells what has changed.  A replica
-whose record went may be kept for 1.6 s from then on, and must get no more work
-two seconds after."""
+"""How long known records may be missing before a VM reads the log itself, in
+seconds.  Reading the log transfers whole values, while another VM sends only
+the differences.  A replica may be kept for 1.6 s after its record's removal is
+learned, and must get no more work two seconds after the removal."""
 
 MIN_AGE_GAIN_S = 0.5
-"""By how much knowledge must be younger to be told without a record, in
-seconds: readers learn the log's state once a second."""
+"""By how much the log's state must be more recent than the requester's for an
+answer without records, in seconds.  Readers learn the state once a second."""
 
 UNKNOWN_AGE_S = 1e6
-"""Age that is told for knowledge that there is not, in seconds."""
+"""Age that is sent while the log's state is unknown, in seconds."""
 
 MIN_CHECK_INTERVAL_S = 0.1
-"""Shortest pause between two looks at how old that is, in seconds."""
+"""Shortest interval between two checks of that age, in seconds."""
 
 MAX_CHECK_INTERVAL_S = 1.0
-"""Longest such pause, in seconds: nothing is due before."""
+"""Longest such interval, in seconds; nothing becomes due sooner."""
 
 FIRST_START_WAIT_S = 3.0
-"""How long a VM waits for another one to tell it anything when the whole
-deployment starts for the first time, in seconds: no caller waits yet, and each
-VM reading the log would be most of a quiet day's calls."""
+"""How long a VM waits for updates from another one when the whole deployment
+starts for the first time, in seconds.  There are no callers yet, and if every
+VM read the log, these would be most of the calls of a quiet day."""
 
 ChangesReader = log_reader.StreamReader[keyedstream.Changes]
 
 
 class LogOutage(msgspec.Struct, frozen=True):
-    """How the log has failed whoever reads it.
+    """The most recent outage of the log, as its readers saw it.
 
     Attributes:
-        ago_s: How long ago it last gave no answer, in seconds; None for never.
-        returned_s: How long ago it answered again, in seconds; likewise.
+        ago_s: Seconds since the log last failed to answer; None for never.
+        returned_s: Seconds since it answered again; None for never.
     """
 
     ago_s: float | None = None
@@ -99,11 +102,11 @@
 
 
 class FollowedStream(msgspec.Struct, frozen=True):
-    """A stream that is followed.
+    """A stream that is followed, with its local copy.
 
     Attributes:
-        reader: Reads it.
-        mirror: What is held of it.
+        reader: Reads the stream from the log.
+        mirror: Local copy of the stream.
     """
 
     reader: ChangesReader
@@ -111,18 +114,18 @@
 
 
 class StreamDistributor:
-    """Follows other VMs, and tells those that follow this one.
+    """Receives updates from other VMs and serves them to its followers.
 
     Args:
         me: This VM.
-        seeds: Addresses of VMs to follow while no other was met.
-        first_start: Whether all VMs start for the first time.
-        client: Asks other VMs.
-        streams: What is followed.
+        seeds: Addresses of VMs to follow until other members are known.
+        first_start: Whether the whole deployment starts for the first time.
+        client: Sends requests to other VMs.
+        streams: Streams to follow.
 
     Attributes:
-        get_outage: Returns how the log has failed, as of a moment.
-        on_outage: Called with how it has failed other VMs.
+        get_outage: Returns the log's last outage, given the current time.
+        on_outage: Called with the last outage that another VM reported.
     """
 
     def __init__(
@@ -142,7 +145,7 @@
         all_seeds = list(seeds)
         self._seeds = tuple(s for s in all_seeds if s != me.address)
         waits = first_start and me.address not in all_seeds and self._seeds
-        # Until then nobody misses what is not known yet.
+        # Until then there are no callers that need the streams.
         self._first_start_until = (
             steadyclock.read() + FIRST_START_WAIT_S * bool(waits)
         )
@@ -157,7 +160,7 @@
             each.reader.on_answer = self._notify_followers
 
     async def run(self) -> None:
-        """Follows until cancelled."""
+        """Follows the streams until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 self._start_following(tasks)
@@ -166,17 +169,18 @@
                 await self._wait_until_due(self._get_next_check_at() - now)
 
     def wake(self) -> None:
-        """Has this VM look at once at what it follows and whether it reads."""
+        """Checks at once whom to follow and whether to read the log."""
         self._wake_event.set()
         self._wake_event = anyio.Event()
 
     async def _wait_until_due(self, due_s: float) -> None:
-        """Waits until something is due, or until there is reason to look.
+        """Waits until the given time has passed or ``wake`` is called.
 
-        So an idle VM is woken for this some four times a second instead of
-        twenty: there are hundreds, and they do little else.
+        Compared with a fixed short interval, this reduces the wake-ups of an
+        idle VM from about twenty to four a second; there are hundreds of VMs,
+        and an idle one does little else.
         """
-        # A reason that comes during the short pause counts as well.
+        # Taken before the sleep, so that a call of wake() during it counts.
         wake_event = self._wake_event
         await anyio.sleep(MIN_CHECK_INTERVAL_S)
         with anyio.move_on_after(
@@ -185,9 +189,9 @@
             await wake_event.wait()
 
     def update_members(self, members: Iterable[membership.Member]) -> None:
-        """Takes the VMs that are alive."""
+        """Recomputes this VM's position in the tree from the live VMs."""
         others = [m for m in members if m.vm != self._me.vm]
-        # Alone, it may just not have met the others yet.
+        # Without other members it may only not have discovered them yet.
         position = tree.find_place(self._me, others) if others else None
         if position == self._position:
             return
@@ -200,12 +204,12 @@
             else {"alone": True},
         )
 
-    # Telling others.
+    # Serving updates.
 
     async def serve_updates(
         self, request: peer_message.FollowStreams
     ) -> peer_message.ToldStreams:
-        """Returns what another VM lacks, as soon as there is anything."""
+        """Answers a follower as soon as there are updates or its wait ends."""
         known_at = steadyclock.read() - request.known_s
         with anyio.move_on_after(request.wait_s):
             while not self._has_updates(request, known_at):
@@ -227,18 +231,18 @@
         return peer_message.ToldStreams(updates)
 
     def _notify_followers(self) -> None:
-        """Has those answered that wait for news."""
+        """Wakes the requests that wait for updates."""
         self._changed.set()
         self._changed = anyio.Event()
 
     def _has_updates(
         self, request: peer_message.FollowStreams, known_at: float
     ) -> bool:
-        """Returns whether an answer is due.
+        """Returns whether a request can be answered before its wait ends.
 
         Args:
             request: The request.
-            known_at: As of when the asker knows the log.
+            known_at: Time of the log's state that the requester has.
         """
         if self._get_fresh_at() > known_at + MIN_AGE_GAIN_S:
             return True
@@ -248,13 +252,13 @@
         )
 
     def _get_fresh_at(self) -> float:
-        """Returns as of when the log is known here."""
+        """Returns the time of the oldest of the streams' known states."""
         return min(each.reader.fresh_at for each in self._streams.values())
 
-    # Following others.
+    # Receiving updates.
 
     def _start_following(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Begins and ends following, by this VM's place."""
+        """Sets the sources by this VM's position and follows new ones."""
         wanted = self._seeds[: tree.SOURCES]
         if self._position is not None:
             wanted = self._position.sources
@@ -265,12 +269,12 @@
             tasks.start_soon(self._follow, address)
 
     async def _follow(self, address: str) -> None:
-        """Follows a VM as long as that is wanted.
+        """Polls a source for as long as it is one.
 
-        Those beside the first one are asked while it tells nothing.
+        Sources other than the primary one are polled only while it is late.
 
-        The last request is not cancelled: that would leave the channel's own
-        cancellation behind, which no scope here takes for its own.
+        The last request is not cancelled: cancelling it would make the channel
+        raise a cancellation that belongs to none of the cancel scopes here.
         """
         while address in self._wanted_sources:
             due_s = self._get_second_source_delay_s()
@@ -281,7 +285,7 @@
         self._followed_sources.discard(address)
 
     def _get_second_source_delay_s(self) -> float:
-        """Returns in how many seconds the first source has told too little."""
+        """Returns after how many seconds to poll the second source."""
         now = steadyclock.read()
         updated_at = min(self._updated_at.values())
         due = updated_at + SECOND_SOURCE_AGE_S
@@ -291,18 +295,18 @@
         return due - now
 
     def _get_lag_s(self, now: float) -> float:
-        """Returns for how long records have been missing here, in seconds."""
+        """Returns for how many seconds known records have been missing."""
         return max(e.reader.get_lack_s(now) for e in self._streams.values())
 
     async def fetch_updates(self, address: str, wait_s: float = 0.0) -> bool:
-        """Asks a VM for news.
+        """Requests updates from a VM and applies them.
 
         Args:
-            address: The VM.
-            wait_s: How long it may wait for news, in seconds.
+            address: Address of the VM.
+            wait_s: How long it may wait for updates, in seconds.
 
         Returns:
-            Whether it told anything that is new.
+            Whether the answer held anything new.
         """
         request = self._make_request(wait_s)
         try:
@@ -310,7 +314,7 @@
                 address, request, wait_s + ANSWER_MARGIN_S
             )
         except peer_link.LinkError as error:
-            LOG.debug("no news from another VM: %s", error)
+            LOG.debug("no updates from another VM: %s", error)
             return False
         received_at = steadyclock.read()
         results = [
@@ -326,7 +330,8 @@
             else each.reader.end
             for name, each in self._streams.items()
         }
-        # What this VM reads itself says nothing of those that it follows.
+        # Only updates from other VMs count, not this VM's own reads, which
+        # say nothing about the sources.
         updated_at = min(self._updated_at.values())
         known_s = min(steadyclock.read() - updated_at, UNKNOWN_AGE_S)
         return peer_message.FollowStreams(ends, known_s, wait_s)
@@ -334,7 +339,7 @@
     async def _apply(
         self, address: str, update: peer_message.StreamNews, received_at: float
     ) -> bool:
-        """Takes news of a stream; tells whether they are new."""
+        """Applies an update of a stream and returns whether it was new."""
         each = self._streams.get(update.stream)
         if each is None or update.end < (each.reader.end or 0):
             return False
@@ -355,7 +360,7 @@
         return is_new
 
     def _record_damage(self, address: str, stream: str, detail: str) -> None:
-        """Asks for the whole stream next, by whomever it is told."""
+        """Makes the next requests, to any source, ask for the whole stream."""
         if stream not in self._damaged_streams:
             LOG.warning(
                 "news of another VM not taken",
@@ -384,13 +389,13 @@
         return now > self._get_takeover_at()
 
     def _get_next_check_at(self) -> float:
-        """Returns when this VM may have to read the log itself."""
+        """Returns when to check again whether to read the log itself."""
         if any(e.reader.lacks_records for e in self._streams.values()):
             return 0.0
         return self._get_takeover_at()
 
     def _get_takeover_at(self) -> float:
-        """Returns when this VM reads the log itself if it is told nothing."""
+        """Returns when to read the log itself if no update arrives."""
         if self._position is None or self._position.reads:
             return self._first_start_until
         delay_s = min(
@@ -401,9 +406,9 @@
 
 
 def _report_no_outage(now: float) -> LogOutage:
-    """Stands in until somebody knows."""
+    """Default until a source of outages is set."""
     return LogOutage()
 
 
 def _ignore_outage(outage: LogOutage) -> None:
-    """Stands in until somebody listens."""
+    """Default until a listener is set."""
--- a/ramptray/scheduler/follower.py
+++ b/ramptray/scheduler/follower.py
@@ -1,4 +1,4 @@
-"""The task that follows the log of bundles."""
+"""Follows the stream of bundles in the platform's log."""
 
 from __future__ import annotations
 
@@ -18,31 +18,32 @@
 LOG = logging.getLogger(__name__)
 
 READ_WAIT_S = 10.0
-"""How long a read waits on VMs that do not watch, in seconds."""
+"""How long a read waits for records on VMs that do not watch, in seconds."""
 
 READ_CHECK_INTERVAL_S = 0.2
-"""Pause between two looks at whether the read underway was lost, in seconds."""
+"""Interval between checks for a lost read, in seconds."""
 
 FETCH_TIMEOUT_S = 3.0
 PAST_END_OFFSET = 2**53
-"""An offset that no stream reaches."""
+"""Offset beyond the end of every stream; reading there returns the end."""
 
 RECENT_RECORDS = 512
-"""Records before the log's end at which a fresh reader begins."""
+"""Number of records before the log's end at which a new reader starts."""
 
 CHECKPOINT_INTERVAL = 50
-"""Records without a checkpoint after which one may be due."""
+"""Minimum number of records between two checkpoints."""
 
 CHECKPOINT_JITTER = 200
-"""Further records over which the schedulers' turns are spread."""
+"""Range of the random number of records that each scheduler waits beyond the
+minimum, so that they do not all append a checkpoint at once."""
 
 
 class _BundleReader(pages.PageReader):
-    """Follows the stream of bundles.
+    """Reads the stream of bundles.
 
     Args:
         log: The platform's log.
-        owner: Judges what is read.
+        owner: Applies the pages that are read.
     """
 
     def __init__(self, log: log_client.Log, owner: BundleFollower) -> None:
@@ -50,10 +51,11 @@
         self._owner = owner
 
     async def read_first(self) -> log_client.Page:
-        """Begins shortly before the log's end, where a checkpoint must be.
+        """Starts shortly before the log's end, where a checkpoint is expected.
 
-        A log of days holds thousands of bundles, and a fresh VM need not judge
-        them all: to it the log looks as if it had forgotten the older ones.
+        After some days the log holds thousands of bundles, and a new VM need
+        not process them all.  It skips the older ones as if the log no longer
+        retained them.
         """
         page = await self._log.read(self.stream, PAST_END_OFFSET, 0.0)
         start = page.next_offset - RECENT_RECORDS
@@ -71,13 +73,13 @@
 
 
 class BundleFollower(source.BundleSource):
-    """Follows the log, learns from peers and leaves checkpoints.
+    """Follows bundles in the log and from peers, and appends checkpoints.
 
     Args:
         log: The platform's log.
-        operators: Who may sign the first bundle.
-        client: Asks peers.
-        rng: Spreads the checkpoints over the schedulers.
+        operators: Operators that may sign the first bundle.
+        client: Sends requests to peers.
+        rng: Source of the random number of records between checkpoints.
         on_change: Called with each bundle that comes into force.
     """
 
@@ -157,23 +159,25 @@
 
     @property
     def next_offset(self) -> int:
-        """Offset of the first record that was not judged yet."""
+        """Offset of the first record that was not processed yet."""
         return self._acceptance.next_offset
 
     def skip_to(self, start: int) -> None:
-        """Leaves records before an offset unread."""
+        """Skips the records before an offset."""
         self._acceptance.skip_to(start)
 
     def _restart_from_oldest(self) -> None:
-        """Begins at the oldest record, since no checkpoint was found."""
-        LOG.warning("no checkpoint among the recent records")
+        """Starts over at the oldest record, as no checkpoint was found."""
+        LOG.warning(
+            "no checkpoint in recent records; reading from the oldest one"
+        )
         fresh = acceptance.Acceptance(self._operators)
         if self.in_force:
             fresh.learn(self.in_force.envelope)
         self._acceptance = fresh
 
     async def apply_page(self, page: log_client.Page) -> None:
-        """Judges the records that were read."""
+        """Applies the records of a page in order."""
         self._acceptance.skip_to(page.first_retained)
         for found in page.records:
             parsed = record.parse_record(found.body)
@@ -192,15 +196,16 @@
         await self._append_checkpoint_if_due()
 
     def _needs_older_records(self, first_retained: int) -> bool:
-        """Returns whether older records might help and were not read."""
+        """Returns whether skipped records are needed to find a valid bundle."""
         has_no_view = self._acceptance.log_view is None
         return has_no_view and self._acceptance.first_read > first_retained
 
     async def _append_checkpoint_if_due(self) -> None:
-        """Leaves a checkpoint now and then, so that the log may forget.
+        """Appends a checkpoint if one is due, so that older records may go.
 
-        Each scheduler draws how long it waits; whoever's turn comes first does
-        it, and the others, seeing it, begin anew.
+        Each scheduler draws at random how many records it waits for.  The first
+        one to reach its number appends the checkpoint; the others reset their
+        counts when they read it.
         """
         view = self._acceptance.log_view
         if view is None or self._since_checkpoint < self._checkpoint_due:
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -1,4 +1,4 @@
-"""The task that owns the membership and talks with other schedulers."""
+"""Gossip between schedulers: membership, summaries and stream ends."""
 
 from __future__ import annotations
 
@@ -20,52 +20,55 @@
 LOG = logging.getLogger(__name__)
 
 JOIN_PERIOD_S = 4.0
-"""How long after its start a scheduler looks for the others more often, in
-seconds: until it has found them it decides by its own view alone."""
+"""How long after its start a scheduler probes at the shorter interval, in
+seconds.  Until it has discovered the others it decides by its own view only."""
 
 JOIN_PROBE_INTERVAL_S = 0.1
-"""Time between two probes of such a scheduler, in seconds."""
+"""Time between two probes while a scheduler is joining, in seconds."""
 
 QUIET_PROBES_TO_JOIN = 8
-"""Answered probes in a row that brought no new member, after which a scheduler
-has found the others: as many as it has neighbours among two hundred."""
+"""Consecutive answered probes without a membership change after which a
+scheduler has joined.  Among two hundred members it probes this many."""
 
 SUSPECT_PROBE_TIMEOUT_S = 0.25
-"""How long a member may take to answer when there is reason to doubt it, in
-seconds: a round trip takes some milliseconds, on a slow VM some ten."""
+"""Probe timeout for a member that may have failed, in seconds.  A round trip
+takes a few milliseconds, on a slow VM some tens of milliseconds."""
 
 MAX_PROBE_TIMEOUT_S = 1.5
-"""How long an answer to a probe is waited for where answers have been late, in
-seconds, and how long it still counts as a word."""
+"""Upper limit of the probe timeout, which grows when answers have been late, in
+seconds.  An answer within this time is still processed."""
 
 EXTRA_PROBES = 6
-"""Others that are probed at once when a member does not answer: a cut takes a
-whole zone, and one probe a period would find that out member by member."""
+"""Number of other members probed at once when one does not answer.  A network
+partition affects a whole zone, and one probe per period would detect that only
+member by member."""
 
 LIMIT_SHARE_FACTOR = 1.0
-"""By how much the parts of customers' limits that all sides of a cut hand out
-may exceed the whole."""
+"""Factor by which the shares of customers' limits, summed over all sides of a
+network partition, may exceed the whole."""
 
 LEAVE_FANOUT = 3
-"""Members that a scheduler tells that it goes; they tell the others."""
+"""Number of members that a leaving scheduler notifies; they tell the others."""
 
 CONTACTS_PER_MESSAGE = 3
 OTHER_ZONE_PROBE_PERIODS = 3
-"""Every so many periods a scheduler of another zone is asked."""
+"""Number of periods between two probes of a scheduler of another zone."""
 
 STREAM_END_FANOUT = 3
-"""Members that are told at once how far streams reach.  If all of them did not
-know, they tell as many each, so that nearly all know within a probe's time."""
+"""Number of members that are told at once how far streams reach.  Members for
+which that is new do the same, so that nearly all know within one probe
+interval."""
 
 MAX_UNKNOWN_SEEDS = 4
-"""Seeds among which one is chosen to be asked, since it may be beyond a cut."""
+"""Number of seeds that are no members which are candidates for a probe.  They
+may be schedulers on the other side of a network partition."""
 
 
 class _ProbeOutcome(msgspec.Struct):
-    """What became of a probe.
+    """The outcome of a probe.
 
     Attributes:
-        is_known: Set once it was answered, or cannot be any more.
+        is_known: Set once the probe was answered or has failed.
         answered: Whether it was answered.
     """
 
@@ -74,21 +77,22 @@
 
 
 class Gossiper:
-    """Probes other schedulers and spreads what is new.
+    """Probes other schedulers and spreads changes to them.
 
     Args:
         me: This scheduler's own record.
-        seeds: Addresses to ask while nobody is known.
-        client: Opens channels.
-        rng: Chooses whom to probe.
+        seeds: Addresses to probe while no other scheduler is known.
+        client: Sends the probes.
+        rng: Selects the members to probe.
         on_view: Called with each new view.
         on_lowest: Called when the zone's lowest generation has changed.
-        on_newer: Called with a peer that has a newer bundle in force.
-        bundle_source: What follows the log, if streams are watched for all.
+        on_newer: Called with the address and generation of a peer that has a
+            newer bundle in force.
+        bundle_source: Follows the log, if few members watch it for all.
         spreads_generations: See ``membership.Membership``.
 
     Attributes:
-        verdicts: What is known of decided rollouts, told with each probe.
+        verdicts: Verdicts of decided rollouts, sent with each probe.
     """
 
     def __init__(
@@ -143,7 +147,7 @@
             tasks.start_soon(self._spread_stream_ends)
 
     async def _spread_stream_ends(self) -> None:
-        """Tells some members at once how far the log's streams reach."""
+        """Sends new ends of the log's streams to some members at once."""
         while True:
             await self._stream_advance.wait()
             self._stream_advance = anyio.Event()
@@ -167,13 +171,13 @@
             await self._client.close_idle(steadyclock.read())
 
     def _is_joining(self) -> bool:
-        """Returns whether this scheduler still looks for the others."""
+        """Returns whether this scheduler is still discovering the others."""
         if self._quiet_probes >= QUIET_PROBES_TO_JOIN:
             return False
         return steadyclock.read() < self._joining_until
 
     async def _probe_seeds(self) -> None:
-        """Asks the seeds that are no members yet."""
+        """Probes the seeds that are not members yet."""
         known = {m.address for m in self.membership.list_alive()}
         async with anyio.create_task_group() as tasks:
             for address in self._seeds:
@@ -182,16 +186,16 @@
 
     @property
     def asked_bytes(self) -> int:
-        """Bytes of questions and answers exchanged with other schedulers."""
+        """Bytes of requests and answers exchanged with other schedulers."""
         return self._client.asked_bytes
 
     def add_seeds(self, addresses: list[str]) -> None:
-        """Adds schedulers that the platform's list names."""
+        """Adds schedulers from the platform's list of VMs."""
         known = {*self._seeds, self._me.address}
         self._seeds.extend(a for a in addresses if a not in known)
 
     def receive(self, gossip: peer_message.Gossip) -> peer_message.Gossip:
-        """Takes a peer's probe and returns the answer."""
+        """Merges a peer's probe and returns the answer."""
         self._merge(gossip, steadyclock.read())
         answer = self._make_message()
         if gossip.wanted_after is None:
@@ -200,14 +204,14 @@
         return msgspec.structs.replace(answer, page=page)
 
     def get_limit_share(self, stands_in: bool = False) -> float:
-        """Returns the part of customers' limits that may be handed out here.
+        """Returns the share of customers' limits that may be granted here.
 
-        Schedulers that were lost may be handing out theirs on the other side
-        of a cut; so may those that were not met yet.
+        Schedulers that are unreachable or not discovered yet may grant theirs
+        on the other side of a network partition, so they are counted too.
 
         Args:
-            stands_in: Whether this scheduler is not the owner but is asked
-                because the owner is silent: one of each availability zone is.
+            stands_in: Whether this scheduler replaces an owner that does not
+                answer; one scheduler of each availability zone does.
         """
         zone = self._me.availability_zone
         alive = sum(
@@ -223,11 +227,11 @@
         return min(1.0, LIMIT_SHARE_FACTOR * max(1, alive) / max(1, known))
 
     def _count_unmet_seeds(self) -> int:
-        """Returns how many seeds may be schedulers that were never met.
+        """Returns how many seeds may be schedulers not discovered yet.
 
-        A scheduler that restarts alone on its side of a cut knows nobody else;
-        without its seeds it would hand out every limit whole.  Seeds may also
-        be stale, so they count no longer than a dead member.
+        A scheduler that restarts alone on its side of a network partition knows
+        no other; without its seeds it would grant every limit in full.  Seeds
+        may also be stale, so they count no longer than a dead member.
         """
         if steadyclock.read() >= self._count_seeds_until:
             return 0
@@ -235,7 +239,7 @@
         return len(set(self._seeds) - met)
 
     def pick_peer(self) -> str | None:
-        """Returns the address of some live scheduler, or of a seed."""
+        """Returns the address of a random live scheduler, else of a seed."""
         addresses = [
             m.address
             for m in self.membership.list_alive()
@@ -244,7 +248,7 @@
         return self._rng.choice(addresses) if addresses else None
 
     async def probe_now(self, address: str) -> None:
-        """Probes a member at once that has been silent to somebody."""
+        """Probes at once a member that did not answer some other process."""
         member = next(
             (m for m in self.membership.list_alive() if m.address == address),
             None,
@@ -255,7 +259,7 @@
             await self._suspect(member)
 
     async def _suspect(self, member: membership.Member) -> None:
-        """Takes a member for lost, and looks at others too."""
+        """Marks a member as suspect and probes others as well."""
         self.membership.suspect(member.vm, steadyclock.read())
         self._publish()
         if self._probing_others:
@@ -285,7 +289,7 @@
         self._publish()
 
     async def leave(self) -> None:
-        """Tells the zone that this scheduler goes."""
+        """Announces to the zone that this scheduler leaves."""
         now = steadyclock.read()
         self.membership.leave(now)
         for address in self._pick_probe_targets(LEAVE_FANOUT):
@@ -307,10 +311,10 @@
         self._publish()
 
     def _pick_other_zone(self) -> list[str]:
-        """Returns one contact, or one seed that is no member now.
+        """Returns one contact, or one seed that is not a member now.
 
-        Seeds that are members are probed as such: asked by every scheduler of
-        a large zone beside that, they would do little else.
+        Seeds that are members are left out, as they are probed as members.
+        Extra probes from every scheduler of a large zone would overload them.
         """
         met = [member.address for member in self._contacts.list_all()]
         known = {m.address for m in self.membership.list_alive()}.union(met)
@@ -321,11 +325,10 @@
     async def _probe(
         self, address: str, timeout_s: float = membership.PROBE_TIMEOUT_S
     ) -> bool:
-        """Returns whether a scheduler answers in time.
+        """Probes a scheduler and returns whether it answers in time.
 
-        Load pattern: VMs short of processor time answer late.  How long is in
-        time follows what probes have been taking; an answer after that still
-        counts as a word.
+        Load pattern: VMs short of CPU time answer late.  The timeout adapts to
+        the measured round-trip times; a later answer is still processed.
         """
         outcome = _ProbeOutcome(anyio.Event())
         if self._tasks is None:
@@ -380,7 +383,7 @@
         return peer_message.Gossip(
             self.membership.me,
             self.membership.pick_updates(),
-            # They are for schedulers of other zones.
+            # Summaries are needed by schedulers of other zones only.
             self.summaries.pick(steadyclock.read()) if contacts else [],
             self._rng.sample(contacts, count),
             self._bundle_source.list_stream_ends()
@@ -403,7 +406,7 @@
                 tuple((m.vm, m.address) for m in others),
             )
         )
-        # A member that leaves last has no live ones beside it.
+        # The last member to leave finds no live ones.
         lowest = min(
             (m.generation for m in self.membership.list_alive()),
             default=self.membership.me.generation,
--- a/ramptray/scheduler/handler.py
+++ b/ramptray/scheduler/handler.py
@@ -1,4 +1,4 @@
-"""What a scheduler does with its peers' messages."""
+"""Handles messages and requests that a scheduler receives from peers."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from ramptray.scheduler import event, gossip, hub, source, status
 
 COLLECT_TIMEOUT_S = 1.0
-"""How long the VM's other processes may take to send their events."""
+"""Time limit for collecting attached processes' timeline events, in seconds."""
 
 MAX_ATTACHED_PROCESSES = 16
-"""Processes of one VM that may answer."""
+"""Maximum number of attached processes whose events are buffered."""
 
 
 class SchedulerHandler(peer_link.Servant):
-    """Passes attached processes to the hub and answers questions."""
+    """Passes attached processes' messages to the hub and answers requests."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
                 return self._list_blocks()
             case peer_message.AskTimeline():
                 return await self._collect_events(request)
-        raise ValueError(f"no request: {type(request).__name__}")
+        raise ValueError(f"unknown request type: {type(request).__name__}")
 
     def _list_blocks(self) -> peer_message.BlockedContents:
         news = self._hub.blocks.list_news(steadyclock.read())
@@ -83,7 +83,7 @@
     async def _collect_events(
         self, request: peer_message.AskTimeline
     ) -> peer_message.TimelineEvents:
-        """Returns the events of this VM's processes that answer in time."""
+        """Returns the events of this VM's processes that respond in time."""
         events = self._timeline.list_events(request.after, request.subject)
         send, receive = anyio.create_memory_object_stream[
             peer_message.TimelineEvents
--- a/ramptray/scheduler/poller.py
+++ b/ramptray/scheduler/poller.py
@@ -1,4 +1,4 @@
-"""The task that asks engines for their load and the platform for its VMs."""
+"""Polls engines for their load and the platform for its list of VMs."""
 
 from __future__ import annotations
 
@@ -16,11 +16,18 @@
 
 VM_LIST_INTERVAL_S = 2.0
 MAX_CONCURRENT_POLLS = 16
-"""Engines that are asked at the same time."""
+"""Maximum number of engines polled at the same time."""
 
 
 class Poller:
-    """Polls the backend servers of this scheduler's own shards."""
+    """Polls the platform's VMs and the engines of this scheduler's shards.
+
+    Args:
+        scheduler_hub: Receives the results and names the engines to poll.
+        gossiper: Receives the addresses of schedulers as seeds.
+        vms: The platform's list of VMs.
+        interval_s: Time between two polls of the engines, in seconds.
+    """
 
     def __init__(
         self,
@@ -64,7 +71,7 @@
         try:
             listed = await self._vms.fetch()
         except log_client.PlatformError as error:
-            LOG.info("list of VMs: %s", error)
+            LOG.info("could not fetch the list of VMs: %s", error)
             return
         schedulers = [vm.address for vm in listed if vm.role == "entry"]
         self._gossiper.add_seeds(schedulers)
--- a/ramptray/scheduler/source.py
+++ b/ramptray/scheduler/source.py
@@ -1,4 +1,4 @@
-"""Where a scheduler's bundle comes from, and how peers pass it on."""
+"""Base class of sources of bundles, with their exchange between peers."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 
 
 WATCHER_COUNT = 2
-"""VMs that watch the log's streams for all: one of them may be frozen or cut
-off from the log, and each costs the log a call a second a stream."""
+"""Number of VMs that watch the log's streams on behalf of all.  More than one,
+as a watcher may be frozen or cut off from the log; each costs the log one call
+a second for each stream."""
 
 WATCH_KEY = "watch"
-"""Key by which the watchers are chosen."""
+"""Hash key that selects the watchers among the members."""
 
 
 class BundleSource(abc.ABC):
-    """Follows what operators publish, and learns of it from peers.
+    """Follows the bundles that operators publish, in the log and from peers.
 
     Args:
-        client: Asks peers.
+        client: Sends requests to peers.
         fetch_timeout_s: Longest time for a peer to send its bundle, in seconds.
     """
 
@@ -44,34 +45,34 @@
     @property
     @abc.abstractmethod
     def log_up(self) -> bool:
-        """Whether the log, or the store, answers."""
+        """Whether the log or store answers."""
 
     @abc.abstractmethod
     def get_log_age(self, now: float) -> float | None:
-        """Returns the seconds since it last answered, None for never."""
+        """Returns the seconds since the log's last answer, None for never."""
 
     @abc.abstractmethod
     def accept_from_peer(
         self, address: str, answer: peer_message.FetchedBundle
     ) -> None:
-        """Takes the bundle that a peer has handed over."""
+        """Accepts a bundle that was fetched from a peer."""
 
     @abc.abstractmethod
     def list_stream_ends(self) -> dict[str, int]:
-        """Returns how far each stream that is followed is known to reach."""
+        """Returns the known end of each followed stream."""
 
     @abc.abstractmethod
     def update_stream_ends(self, ends: Mapping[str, int]) -> None:
-        """Takes how far streams reach as a peer knows."""
+        """Updates the known ends of streams with those of a peer."""
 
     @abc.abstractmethod
     def set_watching(self, watching: bool) -> None:
-        """Sets whether this VM watches the streams for the others."""
+        """Sets whether this VM watches the streams on behalf of all."""
 
     def update_members(
         self, me: membership.Member, alive: Iterable[membership.Member]
     ) -> None:
-        """Takes the VMs that are alive; some watch the streams for all."""
+        """Selects the watchers among the VMs that are alive."""
         vms = [member.vm for member in alive]
         watchers = membership.pick_owners(WATCH_KEY, vms, WATCHER_COUNT)
         self.set_watching(me.vm in watchers)
@@ -79,21 +80,21 @@
     async def serve_streams(
         self, request: peer_message.FollowStreams
     ) -> peer_message.ToldStreams:
-        """Returns what a peer lacks of the streams, if they are passed on."""
+        """Returns a peer's missing records, if streams are distributed."""
         return peer_message.ToldStreams([])
 
     @abc.abstractmethod
     def set_on_stream_advance(self, on_news: Callable[[], None]) -> None:
-        """Sets what is called when peers may not know how far streams reach."""
+        """Sets the callback for stream ends that peers may not know yet."""
 
     async def fetch(self, address: str, generation: int) -> None:
-        """Takes a newer bundle from a peer."""
+        """Fetches a peer's bundle if its generation is newer."""
         current = self.in_force.generation if self.in_force else 0
         if generation > current:
             await self.fetch_newer(address)
 
     async def fetch_newer(self, address: str) -> None:
-        """Takes what a peer has that is newer."""
+        """Asks a peer for its bundle if it is newer than the one in force."""
         current = self.in_force.generation if self.in_force else 0
         try:
             answer = await self._client.ask(
@@ -102,14 +103,14 @@
                 self._fetch_timeout_s,
             )
         except peer_link.LinkError as error:
-            LOG.info("bundle from a peer: %s", error)
+            LOG.info("could not fetch a bundle from a peer: %s", error)
             return
         self.accept_from_peer(address, answer)
 
     def serve_bundle(
         self, request: peer_message.FetchBundle
     ) -> peer_message.FetchedBundle:
-        """Returns the bundle in force if it is newer than the peer's."""
+        """Returns the bundle in force if it is newer than the requester's."""
         current = self.in_force
         if current is None or current.generation <= request.above:
             return peer_message.FetchedBundle(None)
--- a/ramptray/scheduler/summaries.py
+++ b/ramptray/scheduler/summaries.py
@@ -1,4 +1,4 @@
-"""Summaries of the shards of all zones, as schedulers tell them each other."""
+"""Summaries of shards of all zones, exchanged between schedulers."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 SUMMARIES_PER_MESSAGE = 8
 
 MAX_SUMMARY_AGE_S = 8.0
-"""A shard's summary older than this is not acted on, in seconds."""
+"""Age from which on a shard's summary is ignored, in seconds."""
 
 
 class Summaries:
-    """The newest summary of each shard that was heard of."""
+    """The newest known summary of each shard."""
 
     def __init__(self) -> None:
         self._known: dict[str, tuple[float, summary.ShardSummary]] = {}
         self._next_index = 0
 
     def put(self, own: Iterable[summary.ShardSummary], now: float) -> None:
-        """Takes the summaries of this scheduler's own shards."""
+        """Stores the summaries of this scheduler's own shards."""
         for own_summary in own:
             self._known[own_summary.shard.format()] = (now, own_summary)
 
     def merge(
         self, summaries: Iterable[summary.ShardSummary], now: float
     ) -> None:
-        """Takes what a peer told, as far as it is newer."""
+        """Stores a peer's summaries that are newer than the known ones."""
         for other in summaries:
             key = other.shard.format()
             known = self._known.get(key)
@@ -48,7 +48,7 @@
         ]
 
     def pick(self, now: float) -> list[summary.ShardSummary]:
-        """Returns the next few summaries, each of them in its turn."""
+        """Returns the next few summaries, in round-robin order."""
         fresh = self._list_fresh(now)
         if not fresh:
             return []
