--- a/ramptray/scheduler/block_sync.py
+++ b/ramptray/scheduler/block_sync.py
@@ -31,8 +31,8 @@
 cost."""
 
 MAX_PENDING_SAVES = 256
-"""Size of the queue of blocks to save.  A larger burst does not come from single
-poison requests."""
+"""Size of the queue of blocks to save.  A larger burst does not come from
+individual poison requests."""
 
 
 class BlockSync:
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -133,7 +133,7 @@
         self._quiet_probes = 0
         self._count_seeds_until = now + membership.FORGET_S
         self._probing_others = False
-        self.verdicts = rollouts.VerdictBook()
+        self.verdicts = rollouts.VerdictStore()
         self._rtt = rtt.RttEstimator(
             SUSPECT_PROBE_TIMEOUT_S, MAX_PROBE_TIMEOUT_S
         )
@@ -375,7 +375,7 @@
         for member in [gossip.sender, *gossip.contacts]:
             self._contacts.update(member)
         self.summaries.merge(gossip.summaries, now)
-        self.verdicts.take(gossip.verdicts)
+        self.verdicts.merge(gossip.verdicts)
 
     def _make_message(self) -> peer_message.Gossip:
         contacts = self._contacts.list_all()
