--- a/ramptray/core/queue.py
+++ b/ramptray/core/queue.py
@@ -16,19 +16,19 @@
 """Cost of an output token in prompt tokens: decoding is the slower part."""
 
 
-LOOKED_AT = 64
+MAX_SCANNED_REQUESTS = 64
 """Requests of a customer that are looked at for the first ones of entries."""
 
-ENTRIES_TRIED = 4
+MAX_ENTRY_HEADS = 4
 """Entries of a customer whose first request is listed."""
 
 
-def weigh(request: message.RequestInfo) -> int:
+def compute_cost(request: message.RequestInfo) -> int:
     """Returns a request's cost in prompt tokens, for queues and fairness."""
     return request.prompt_tokens + OUTPUT_WEIGHT * request.output_tokens
 
 
-class Waiting(msgspec.Struct):
+class QueuedRequest(msgspec.Struct):
     """A request in the queue.
 
     Attributes:
@@ -75,31 +75,33 @@
     def __init__(self) -> None:
         self.cost = 0
         self.count = 0
-        self._queues: dict[str, collections.OrderedDict[str, Waiting]] = {}
+        self._queues: dict[
+            str, collections.OrderedDict[str, QueuedRequest]
+        ] = {}
         self._used: dict[str, float] = {}
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._heap: list[tuple[float, str]] = []
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedRequest) -> None:
         """Adds a request behind its customer's others."""
         customer = waiting.request.customer
         queue = self._queues.get(customer)
         if queue is None:
             queue = self._queues[customer] = collections.OrderedDict()
-            used = max(self._used.get(customer, 0.0), self._virtual)
+            used = max(self._used.get(customer, 0.0), self._virtual_time)
             self._used[customer] = used
             heapq.heappush(self._heap, (used, customer))
         queue[waiting.request.request_id] = waiting
         self.cost += waiting.cost
         self.count += 1
 
-    def restore(self, waiting: Waiting) -> None:
+    def push_front(self, waiting: QueuedRequest) -> None:
         """Puts a request back at the head of its customer's queue."""
         self.push(waiting)
         queue = self._queues[waiting.request.customer]
         queue.move_to_end(waiting.request.request_id, last=False)
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: QueuedRequest) -> None:
         """Takes a request out, wherever it stands."""
         customer = waiting.request.customer
         queue = self._queues[customer]
@@ -109,11 +111,11 @@
         self.cost -= waiting.cost
         self.count -= 1
 
-    def charge(self, waiting: Waiting, share: float) -> None:
+    def charge(self, waiting: QueuedRequest, share: float) -> None:
         """Counts a granted request against its customer's share."""
         customer = waiting.request.customer
-        used = self._used.get(customer, self._virtual)
-        self._virtual = max(self._virtual, used)
+        used = self._used.get(customer, self._virtual_time)
+        self._virtual_time = max(self._virtual_time, used)
         self._used[customer] = used + waiting.cost / share
         if customer in self._queues:
             heapq.heappush(self._heap, (self._used[customer], customer))
@@ -121,19 +123,22 @@
             self._forget_idle()
 
     def list_heads(
-        self, most: int, is_held: Callable[[str], bool] | None = None
-    ) -> list[Waiting]:
-        """Returns the first request of up to ``most`` customers, in order.
+        self, max_customers: int, is_paused: Callable[[str], bool] | None = None
+    ) -> list[QueuedRequest]:
+        """Returns the first request of up to ``max_customers`` customers.
+
+        They are in scheduling order.
 
         Args:
-            most: How many customers.
-            is_held: Returns whether the requests of an entry can go nowhere
-                now.  With it, the first requests of a few other entries are
-                listed of each customer.
+            max_customers: How many customers.
+            is_paused: Returns whether every server has asked an entry for a
+                pause.  If given, up to ``MAX_ENTRY_HEADS`` requests are
+                listed per customer, the first of each entry that is not
+                paused.
         """
-        heads: list[Waiting] = []
+        heads: list[QueuedRequest] = []
         taken: list[tuple[float, str]] = []
-        while self._heap and len(taken) < most:
+        while self._heap and len(taken) < max_customers:
             used, customer = heapq.heappop(self._heap)
             stale = used != self._used.get(customer)
             if stale or customer not in self._queues:
@@ -142,19 +147,19 @@
                 continue
             taken.append((used, customer))
             queue = self._queues[customer]
-            if is_held is None:
+            if is_paused is None:
                 heads.append(next(iter(queue.values())))
             else:
-                heads += _list_first_of_entries(queue.values(), is_held)
+                heads += _list_entry_heads(queue.values(), is_paused)
         for item in taken:
             heapq.heappush(self._heap, item)
         return heads
 
-    def list_all(self) -> list[Waiting]:
+    def list_all(self) -> list[QueuedRequest]:
         """Returns every waiting request, each customer's in order."""
         return [w for queue in self._queues.values() for w in queue.values()]
 
-    def pick_victim(self) -> Waiting | None:
+    def pick_victim(self) -> QueuedRequest | None:
         """Returns the request to shed first, or None.
 
         It is the newest one of the customer furthest over its share.
@@ -170,7 +175,7 @@
         self._used = {
             customer: used
             for customer, used in self._used.items()
-            if customer in self._queues or used > self._virtual
+            if customer in self._queues or used > self._virtual_time
         }
 
 
@@ -182,7 +187,7 @@
     """
 
     def __init__(self, ranks: dict[str, int]) -> None:
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
         self.tiers: list[TierQueue] = []
         self.set_ranks(ranks)
 
@@ -210,7 +215,7 @@
                 waiting.rank = self._open_late_rank(waiting.rank)
             self.tiers[waiting.rank].push(waiting)
 
-    def demote(self, waiting: Waiting) -> None:
+    def demote(self, waiting: QueuedRequest) -> None:
         """Moves a request that is too late behind all that are not.
 
         Among the late ones the tiers keep their order.
@@ -227,30 +232,30 @@
 
     def make(
         self, request: message.RequestInfo, entry: str, now: float
-    ) -> Waiting:
+    ) -> QueuedRequest:
         """Returns a request as it would wait; it does not yet."""
-        return Waiting(
+        return QueuedRequest(
             request,
             entry,
             self._get_rank(request),
             deadline=now + request.deadline_s,
-            cost=weigh(request),
+            cost=compute_cost(request),
             since=now,
-            late_at=_add(now, request.objective_s),
-            refuse_at=_add(now, request.wait_s),
+            late_at=_add_optional(now, request.objective_s),
+            refuse_at=_add_optional(now, request.wait_s),
         )
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedRequest) -> None:
         """Adds a request behind its customer's others."""
         self._waiting[waiting.request.request_id] = waiting
         self.tiers[waiting.rank].push(waiting)
 
-    def restore(self, waiting: Waiting) -> None:
+    def push_front(self, waiting: QueuedRequest) -> None:
         """Puts a request back at the head of its customer's queue."""
         self._waiting[waiting.request.request_id] = waiting
-        self.tiers[waiting.rank].restore(waiting)
+        self.tiers[waiting.rank].push_front(waiting)
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: QueuedRequest) -> None:
         """Takes a request out."""
         del self._waiting[waiting.request.request_id]
         self.tiers[waiting.rank].remove(waiting)
@@ -266,11 +271,11 @@
             if waiting.entry == entry:
                 self.remove(waiting)
 
-    def list_all(self) -> list[Waiting]:
+    def list_all(self) -> list[QueuedRequest]:
         """Returns every waiting request, in order of arrival."""
         return list(self._waiting.values())
 
-    def list_behind(self) -> list[Waiting]:
+    def list_late(self) -> list[QueuedRequest]:
         """Returns the late requests while others wait that may be in time.
 
         They would begin only after all of those, and more arrive meanwhile.
@@ -281,7 +286,7 @@
         late = self.tiers[self._tier_count :]
         return [waiting for tier in late for waiting in tier.list_all()]
 
-    def list_expired(self, now: float) -> list[Waiting]:
+    def list_expired(self, now: float) -> list[QueuedRequest]:
         """Returns the requests that are not to wait any longer."""
         return [
             w
@@ -289,17 +294,17 @@
             if min(w.deadline, w.refuse_at) <= now
         ]
 
-    def pick_victim(self) -> Waiting | None:
+    def pick_victim(self) -> QueuedRequest | None:
         """Returns the request to shed first: one of the lowest tier."""
         victims = (tier.pick_victim() for tier in reversed(self.tiers))
         return next((v for v in victims if v is not None), None)
 
-    def get_cost_ahead(self, waiting: Waiting) -> int:
+    def get_cost_ahead(self, waiting: QueuedRequest) -> int:
         """Returns the cost of what goes before a request at most."""
         ahead = sum(tier.cost for tier in self.tiers[: waiting.rank + 1])
         return ahead - waiting.cost
 
-    def get_count_ahead(self, waiting: Waiting) -> int:
+    def get_count_ahead(self, waiting: QueuedRequest) -> int:
         """Returns how many requests that may be in time go before one."""
         in_time = self.tiers[: self._tier_count]
         ahead = sum(tier.count for tier in in_time[: waiting.rank + 1])
@@ -314,18 +319,18 @@
         return self._ranks.get(request.tier, self._tier_count - 1)
 
 
-def _list_first_of_entries(
-    line: Iterable[Waiting], is_held: Callable[[str], bool]
-) -> list[Waiting]:
+def _list_entry_heads(
+    line: Iterable[QueuedRequest], is_held: Callable[[str], bool]
+) -> list[QueuedRequest]:
     """Returns the first requests of a few entries in a customer's line."""
-    first: dict[str, Waiting] = {}
-    for waiting in itertools.islice(line, LOOKED_AT):
+    first: dict[str, QueuedRequest] = {}
+    for waiting in itertools.islice(line, MAX_SCANNED_REQUESTS):
         if waiting.entry not in first and not is_held(waiting.entry):
             first[waiting.entry] = waiting
-        if len(first) >= ENTRIES_TRIED:
+        if len(first) >= MAX_ENTRY_HEADS:
             break
     return list(first.values())
 
 
-def _add(now: float, left_s: float | None) -> float:
+def _add_optional(now: float, left_s: float | None) -> float:
     return math.inf if left_s is None else now + left_s
--- a/ramptray/core/shard.py
+++ b/ramptray/core/shard.py
@@ -12,23 +12,23 @@
 import msgspec
 import xxhash
 
-from ramptray.core import backend as backends
 from ramptray.core import (
+    anti_affinity,
     fleet,
     granting,
     limit,
     message,
     owner_effect,
-    pace,
     policy,
     queue,
     release,
-    remote,
+    remote_shards,
     selector,
-    separation,
     shedding,
     summary,
+    wait_estimator,
 )
+from ramptray.core import backend as backends
 from ramptray.core import rules as shard_rules
 
 REPORT_GRACE_S = 1.0
@@ -51,12 +51,12 @@
         address: str,
         rules: shard_rules.ShardRules,
         infos: list[backends.BackendInfo],
-        chosen: policy.Policy,
+        placement_policy: policy.Policy,
         now: float,
         report_grace_s: float = REPORT_GRACE_S,
         limits: limit.Limits | None = None,
         speeds: Mapping[str, message.SpeedLearned] | None = None,
-        is_suspect: separation.IsSuspect = separation.suspect_none,
+        is_suspect: anti_affinity.IsSuspect = anti_affinity.suspect_nothing,
     ) -> None:
         self.shard = shard
         self.fleet = fleet.Fleet(now + report_grace_s, speeds or {})
@@ -65,15 +65,19 @@
         self._queue = queue.ShardQueue(rules.ranks)
         self._syncing: dict[str, set[str]] = {}
         self._entries: set[str] = set()
-        self._remote = remote.RemoteShards(shard)
+        self._remote = remote_shards.RemoteShards(shard)
         self._limits = limits or limit.Limits(rules.limits)
-        self.releases = release.ReleaseGate(self.fleet, chosen, self._limits)
-        self._pace = pace.Pace(self._queue, self.fleet, self._limits)
+        self.releases = release.ReleaseGate(
+            self.fleet, placement_policy, self._limits
+        )
+        self._wait_estimator = wait_estimator.WaitEstimator(
+            self._queue, self.fleet, self._limits
+        )
         self._shedder = shedding.Shedder(
             self._queue,
             self.fleet,
             self._limits,
-            self._pace,
+            self._wait_estimator,
             self._remote,
             self._entries,
             now,
@@ -86,9 +90,13 @@
             self.fleet,
             self._limits,
             selector.Selector(
-                self.fleet, chosen, self._limits, self.releases, is_suspect
+                self.fleet,
+                placement_policy,
+                self._limits,
+                self.releases,
+                is_suspect,
             ),
-            self._pace,
+            self._wait_estimator,
             self.releases,
             self.counters,
         )
@@ -134,7 +142,7 @@
             version: Larger than that of every earlier summary.
         """
         limited = (
-            self._pace.get_rate_limit(now) is not None
+            self._wait_estimator.get_rate_limit(now) is not None
             or self.fleet.eligibility.get_shortest_pause(
                 len(self._entries), now
             )
@@ -178,18 +186,18 @@
 
     def receive(
         self, entry: str, received: message.EntryMessage, now: float
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         """Takes one message from an entry and returns what to send."""
         match received:
             case message.Enqueue(request):
                 return self._enqueue(entry, request, now)
             case message.Running():
-                self._note_running(entry, received, now)
+                self._handle_running(entry, received, now)
             case message.Withdraw(request_id):
-                self._forget(request_id)
+                self._discard(request_id)
             case message.Decline():
                 return [
-                    *self._take_back(entry, received, now),
+                    *self._handle_decline(entry, received, now),
                     *self.grant(now),
                 ]
             case message.FirstToken(request_id):
@@ -198,7 +206,7 @@
                     return self.grant(now, [backend])
                 return []
             case message.Ended(request_id):
-                return self.grant(now, self._end(received, now))
+                return self.grant(now, self._handle_ended(received, now))
             case message.SyncDone():
                 self._finish_sync(entry)
             case message.SpeedLearned():
@@ -210,13 +218,13 @@
 
     def grant(
         self, now: float, only: list[backends.Backend] | None = None
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         """Grants as much as fits, see ``granting.Granter.grant``."""
         return self._granter.grant(now, only)
 
     def refuse_waiting(
         self, content: str, left_s: float
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         """Refuses what waits with a content that is blocked from now on."""
         return self._shedder.refuse_content(content, left_s)
 
@@ -225,14 +233,14 @@
         self._syncing[entry] = self.fleet.list_requests_of_entry(entry)
         self._queue.discard_entry(entry)
 
-    def lose_entry(self, entry: str, now: float) -> None:
+    def detach_entry(self, entry: str, now: float) -> None:
         """Drops what an entry had waiting; what runs keeps its place."""
         self._syncing.pop(entry, None)
         self._entries.discard(entry)
         self._queue.discard_entry(entry)
         self.fleet.mark_orphaned(entry, now)
 
-    def tick(self, now: float) -> list[owner_effect.ToEntry]:
+    def tick(self, now: float) -> list[owner_effect.SendToEntry]:
         """Gives up what is past its deadline and frees lost places."""
         out = self._shedder.refuse_expired(now)
         self.fleet.refresh(now, self._limits.server_part)
@@ -244,7 +252,7 @@
 
     def _enqueue(
         self, entry: str, request: message.RequestInfo, now: float
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         self._entries.add(entry)
         request_id = request.request_id
         if request_id in self._syncing.get(entry, set()):
@@ -262,7 +270,7 @@
         if refused := self._shedder.admit(waiting, now):
             return [refused]
         self._queue.push(waiting)
-        if out := self._shedder.refuse_out_of_reach(waiting, now):
+        if out := self._shedder.refuse_unreachable(waiting, now):
             return out
         granted = self.grant(now)
         paused = self._shedder.refuse_paused([waiting], now)
@@ -272,7 +280,7 @@
         """Returns how many requests of each entry wait."""
         return collections.Counter(w.entry for w in self._queue.list_all())
 
-    def _note_running(
+    def _handle_running(
         self, entry: str, running: message.Running, now: float
     ) -> None:
         request_id = running.request.request_id
@@ -288,9 +296,9 @@
         began = now - running.running_s
         self.fleet.place(running.request, backend, entry, "", began)
 
-    def _take_back(
+    def _handle_decline(
         self, entry: str, decline: message.Decline, now: float
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         """Frees the place of a declined grant; the request waits again."""
         request_id = decline.request_id
         backend = self.fleet.find(request_id)
@@ -311,15 +319,17 @@
             placed.request, avoid=decline.avoid, silent=decline.silent
         )
         waiting = self._queue.make(request, entry, placed.asked_at)
-        self._queue.restore(waiting)
-        return self._shedder.refuse_out_of_reach(waiting, now)
+        self._queue.push_front(waiting)
+        return self._shedder.refuse_unreachable(waiting, now)
 
-    def _end(self, ended: message.Ended, now: float) -> list[backends.Backend]:
+    def _handle_ended(
+        self, ended: message.Ended, now: float
+    ) -> list[backends.Backend]:
         """Returns the backend server that has got room, if any."""
         if ended.request_id not in self.fleet:
             self._queue.discard(ended.request_id)
             return []
-        self.releases.judge(ended)
+        self.releases.record_answer(ended)
         backend = self.fleet.end(ended, now)
         return [backend] if backend else []
 
@@ -327,7 +337,7 @@
         for request_id in self._syncing.pop(entry, set()):
             self.fleet.free(request_id)
 
-    def _forget(self, request_id: str) -> None:
+    def _discard(self, request_id: str) -> None:
         self._queue.discard(request_id)
         self.fleet.free(request_id)
 
--- a/ramptray/core/shedding.py
+++ b/ramptray/core/shedding.py
@@ -12,9 +12,9 @@
     message,
     meter,
     owner_effect,
-    pace,
     queue,
-    remote,
+    remote_shards,
+    wait_estimator,
 )
 
 SHED_WINDOW_S = 60.0
@@ -23,14 +23,14 @@
 STARTUP_GRACE_S = 3.0
 """How long a new owner waits for the summaries of other zones, in seconds."""
 
-MIN_RETRY_S = 0.5
+MIN_RETRY_AFTER_S = 0.5
 """Shortest Retry-After, in seconds."""
 
-OUT_OF_REACH_RETRY_S = 1.0
+UNREACHABLE_RETRY_AFTER_S = 1.0
 """Shortest Retry-After where no backend server is in reach, in seconds: by then
 the balancer may send the caller to a VM that is better placed."""
 
-MAX_RETRY_S = 30.0
+MAX_RETRY_AFTER_S = 30.0
 """Longest Retry-After, in seconds."""
 
 
@@ -48,13 +48,13 @@
     """Takes requests out of a shard's queue that are not to wait there.
 
     Args:
-        waiting: The queue.
+        shard_queue: The queue.
         servers: The shard's backend servers.
         limits: The customers' limits.
-        paced: Estimates of waiting.
-        others: The same shard in other zones.
+        estimator: Estimates of waiting.
+        remotes: The same shard in other zones.
         entries: The entries that ask here.
-        born: When the owner took over, on its clock in seconds.
+        started_at: When the owner took over, on its clock in seconds.
 
     Attributes:
         counters: What the shard has done.
@@ -63,23 +63,23 @@
 
     def __init__(
         self,
-        waiting: queue.ShardQueue,
+        shard_queue: queue.ShardQueue,
         servers: fleet.Fleet,
         limits: limit.Limits,
-        paced: pace.Pace,
-        others: remote.RemoteShards,
+        estimator: wait_estimator.WaitEstimator,
+        remotes: remote_shards.RemoteShards,
         entries: Collection[str],
-        born: float,
+        started_at: float,
     ) -> None:
         self.counters = Counters()
         self.queue_cost = 0
-        self._queue = waiting
+        self._queue = shard_queue
         self._fleet = servers
         self._limits = limits
-        self._pace = paced
-        self._remote = others
+        self._wait_estimator = estimator
+        self._remote = remotes
         self._entries = entries
-        self._born = born
+        self._started_at = started_at
         self._shed: dict[str, meter.RateMeter] = {}
 
     def list_shed(self, now: float) -> dict[str, int]:
@@ -87,8 +87,8 @@
         return {tier: shed.get_sum(now) for tier, shed in self._shed.items()}
 
     def admit(
-        self, waiting: queue.Waiting, now: float
-    ) -> owner_effect.ToEntry | None:
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> owner_effect.SendToEntry | None:
         """Counts a request against its customer's limit.
 
         A request that was admitted before, here or elsewhere, is not counted
@@ -100,8 +100,8 @@
         request = waiting.request
         if request.spilled_from or request.attempt:
             return None
-        counted = _count(waiting)
-        wait_s = self._limits.check(request.customer, counted, now)
+        counted = _get_limit_cost(waiting)
+        wait_s = self._limits.try_acquire(request.customer, counted, now)
         if wait_s == 0.0:
             waiting.counted_at = now
             return None
@@ -110,7 +110,7 @@
 
     def refuse_content(
         self, content: str, left_s: float
-    ) -> list[owner_effect.ToEntry]:
+    ) -> list[owner_effect.SendToEntry]:
         """Refuses what waits with a content that is blocked from now on."""
         found = [
             waiting
@@ -124,14 +124,14 @@
             for waiting in found
         ]
 
-    def refuse_expired(self, now: float) -> list[owner_effect.ToEntry]:
+    def refuse_expired(self, now: float) -> list[owner_effect.SendToEntry]:
         """Refuses the requests that may not wait any longer."""
         return [
             self._refuse(waiting, _get_expiry_reason(waiting, now), now)
             for waiting in self._queue.list_expired(now)
         ]
 
-    def refuse_late(self, now: float) -> list[owner_effect.ToEntry]:
+    def refuse_late(self, now: float) -> list[owner_effect.SendToEntry]:
         """Refuses late requests at once while others wait in time.
 
         Load pattern: more is asked than the engines can do for some seconds.
@@ -141,13 +141,13 @@
         """
         return [
             self._refuse(waiting, message.Reason.OVERLOADED, now)
-            for waiting in self._queue.list_behind()
+            for waiting in self._queue.list_late()
             if not waiting.request.attempt
         ]
 
-    def refuse_out_of_reach(
-        self, waiting: queue.Waiting, now: float
-    ) -> list[owner_effect.ToEntry]:
+    def refuse_unreachable(
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> list[owner_effect.SendToEntry]:
         """Gives up a request whose entry can reach no backend server.
 
         Its caller may come back to another VM.
@@ -156,18 +156,20 @@
             waiting.request
         ):
             return []
-        return [self._turn_away(waiting, now, message.Reason.NO_BACKEND)]
+        return [
+            self._redirect_or_refuse(waiting, now, message.Reason.NO_BACKEND)
+        ]
 
     def refuse_paused(
-        self, candidates: Iterable[queue.Waiting], now: float
-    ) -> list[owner_effect.ToEntry]:
+        self, candidates: Iterable[queue.QueuedRequest], now: float
+    ) -> list[owner_effect.SendToEntry]:
         """Turns away what every server wants to wait for longer than it may.
 
         Load pattern: all servers of a service turn requests away and ask the
         same VM for a pause.
         """
         return [
-            self._turn_away(waiting, now)
+            self._redirect_or_refuse(waiting, now)
             for waiting in candidates
             if waiting.request.request_id in self._queue
             and now + self._fleet.eligibility.get_pause(waiting, now)
@@ -175,38 +177,40 @@
         ]
 
     def make_room(
-        self, newest: queue.Waiting, now: float
-    ) -> list[owner_effect.ToEntry]:
+        self, newest: queue.QueuedRequest, now: float
+    ) -> list[owner_effect.SendToEntry]:
         """Turns away what the queue cannot hold after a request has come."""
-        out: list[owner_effect.ToEntry] = []
+        out: list[owner_effect.SendToEntry] = []
         while self._queue.cost > self.queue_cost:
             victim = self._queue.pick_victim()
             if victim is None or len(self._queue) == 1:
                 break
-            out.append(self._turn_away(victim, now))
+            out.append(self._redirect_or_refuse(victim, now))
         if newest.request.request_id not in self._queue:
             return out
         if self._cannot_meet_deadline(newest, now):
             reason = message.Reason.DEADLINE
-            out.append(self._turn_away(newest, now, reason))
+            out.append(self._redirect_or_refuse(newest, now, reason))
         return [*out, *self.spill_over(now)]
 
-    def spill_over(self, now: float) -> list[owner_effect.ToEntry]:
+    def spill_over(self, now: float) -> list[owner_effect.SendToEntry]:
         """Turns everything away while no backend server is left here.
 
         A new owner first waits for the summaries of the other zones.
         """
         if self._fleet.has_usable:
             return []
-        is_starting = now - self._born <= STARTUP_GRACE_S
+        is_starting = now - self._started_at <= STARTUP_GRACE_S
         lowest_first = sorted(self._queue.list_all(), key=lambda w: -w.rank)
         return [
-            self._turn_away(waiting, now)
+            self._redirect_or_refuse(waiting, now)
             for waiting in lowest_first
             if not is_starting or self._remote.has_room(waiting)
         ]
 
-    def _cannot_meet_deadline(self, waiting: queue.Waiting, now: float) -> bool:
+    def _cannot_meet_deadline(
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> bool:
         """Returns whether a request cannot meet its deadline.
 
         While a lower tier waits, a request is never refused early: it goes
@@ -214,67 +218,74 @@
         """
         if self._queue.has_lower(waiting.rank):
             return False
-        wait_s = self._pace.estimate_wait(waiting, now)
+        wait_s = self._wait_estimator.estimate_wait(waiting, now)
         return now + wait_s > waiting.deadline
 
-    def _turn_away(
+    def _redirect_or_refuse(
         self,
-        waiting: queue.Waiting,
+        waiting: queue.QueuedRequest,
         now: float,
         reason: message.Reason = message.Reason.OVERLOADED,
-    ) -> owner_effect.ToEntry:
+    ) -> owner_effect.SendToEntry:
         """Sends a request to a zone with room, or gives it up."""
         target = self._remote.pick(waiting)
         if target is None:
             return self._refuse(waiting, reason, now)
         self._queue.remove(waiting)
         self.counters.redirected += 1
-        return owner_effect.ToEntry(
+        return owner_effect.SendToEntry(
             waiting.entry,
             message.Redirect(
                 waiting.request.request_id, target.shard.zone, target.owner
             ),
-            self._make_basis(),
+            self._make_inputs(),
         )
 
     def _refuse(
-        self, waiting: queue.Waiting, reason: message.Reason, now: float
-    ) -> owner_effect.ToEntry:
+        self, waiting: queue.QueuedRequest, reason: message.Reason, now: float
+    ) -> owner_effect.SendToEntry:
         self._queue.remove(waiting)
         self._count_shed(waiting.request.tier, now)
         if waiting.counted_at is not None:
-            self._limits.give_back(
-                waiting.request.customer, _count(waiting), waiting.counted_at
+            self._limits.refund(
+                waiting.request.customer,
+                _get_limit_cost(waiting),
+                waiting.counted_at,
             )
         if not self._fleet.has_usable:
             reason = message.Reason.NO_BACKEND
-        least_s = MIN_RETRY_S
+        least_s = MIN_RETRY_AFTER_S
         if reason is message.Reason.NO_BACKEND:
-            least_s = OUT_OF_REACH_RETRY_S
-        self._pace.count_refusal(waiting, now)
+            least_s = UNREACHABLE_RETRY_AFTER_S
+        self._wait_estimator.count_refusal(waiting, now)
         # In a pause of all entries the queue is served from its end on.
         pause_s = self._fleet.eligibility.get_shortest_pause(
             len(self._entries), now
         )
         wait_s = max(
             least_s,
-            pause_s + self._pace.estimate_wait(waiting, now),
-            pause_s + self._pace.estimate_return(waiting, now),
+            pause_s + self._wait_estimator.estimate_wait(waiting, now),
+            pause_s + self._wait_estimator.estimate_retry_after(waiting, now),
+        )
+        return self._make_reject(
+            waiting, reason, min(wait_s, MAX_RETRY_AFTER_S)
         )
-        return self._make_reject(waiting, reason, min(wait_s, MAX_RETRY_S))
 
     def _make_reject(
-        self, waiting: queue.Waiting, reason: message.Reason, retry_s: float
-    ) -> owner_effect.ToEntry:
-        return owner_effect.ToEntry(
+        self,
+        waiting: queue.QueuedRequest,
+        reason: message.Reason,
+        retry_s: float,
+    ) -> owner_effect.SendToEntry:
+        return owner_effect.SendToEntry(
             waiting.entry,
             message.Reject(waiting.request.request_id, reason, retry_s),
-            self._make_basis(),
+            self._make_inputs(),
         )
 
-    def _make_basis(self) -> owner_effect.Basis:
+    def _make_inputs(self) -> owner_effect.DecisionInputs:
         open_ones = [b for b in self._fleet.list_all() if not b.is_lost]
-        return owner_effect.Basis(
+        return owner_effect.DecisionInputs(
             len(self._queue),
             sum(len(known.placed) for known in open_ones),
             sum(known.info.max_running for known in open_ones),
@@ -286,13 +297,15 @@
         shed.add(1, now)
 
 
-def _count(waiting: queue.Waiting) -> int:
+def _get_limit_cost(waiting: queue.QueuedRequest) -> int:
     """Returns what a request counts against its customer's limit."""
     counted = waiting.request.limit_tokens
     return waiting.cost if counted is None else counted
 
 
-def _get_expiry_reason(waiting: queue.Waiting, now: float) -> message.Reason:
+def _get_expiry_reason(
+    waiting: queue.QueuedRequest, now: float
+) -> message.Reason:
     """Returns why a request does not wait any longer."""
     if waiting.deadline <= now:
         return message.Reason.DEADLINE
