--- a/ramptray/core/shard.py
+++ b/ramptray/core/shard.py
@@ -123,7 +123,7 @@
         step_s: float = 0.0,
     ) -> None:
         """Takes an engine's lagging load report."""
-        self.fleet.correct_load(
+        self.fleet.apply_load_report(
             name, running, versions, step_s, self._rules.version
         )
 
@@ -143,7 +143,9 @@
         """
         limited = (
             self._wait_estimator.get_rate_limit(now) is not None
-            or self.fleet.eligibility.get_pause_of_all(len(self._entries), now)
+            or self.fleet.eligibility.get_shortest_pause(
+                len(self._entries), now
+            )
             > 0.0
         )
         return summary.ShardSummary(
@@ -200,7 +202,7 @@
                 ]
             case message.FirstToken(request_id):
                 if backend := self.fleet.find(request_id):
-                    self.fleet.begin_answer(received, now)
+                    self.fleet.record_first_token(received, now)
                     return self.grant(now, [backend])
                 return []
             case message.Ended(request_id):
@@ -208,10 +210,10 @@
             case message.SyncDone():
                 self._finish_sync(entry)
             case message.SpeedLearned():
-                self.fleet.take_speed(received)
+                self.fleet.apply_speed(received)
                 return []
             case message.ServerHints():
-                self.fleet.take_hints(received, entry, now)
+                self.fleet.apply_hints(received, entry, now)
         return self.grant(now)
 
     def grant(
@@ -228,7 +230,7 @@
 
     def begin_sync(self, entry: str) -> None:
         """Begins the resynchronization of an entry that has attached."""
-        self._syncing[entry] = self.fleet.list_of_entry(entry)
+        self._syncing[entry] = self.fleet.list_requests_of_entry(entry)
         self._queue.discard_entry(entry)
 
     def detach_entry(self, entry: str, now: float) -> None:
@@ -236,7 +238,7 @@
         self._syncing.pop(entry, None)
         self._entries.discard(entry)
         self._queue.discard_entry(entry)
-        self.fleet.lose_entry(entry, now)
+        self.fleet.mark_orphaned(entry, now)
 
     def tick(self, now: float) -> list[owner_effect.SendToEntry]:
         """Gives up what is past its deadline and frees lost places."""
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -432,7 +432,7 @@
             self.content_blocker.detector.is_suspect,
         )
         for entry, hints in self._observations.list_hints(now):
-            owner.fleet.take_hints(hints, entry, now)
+            owner.fleet.apply_hints(hints, entry, now)
         self.shards[key] = owner
         self._apply_rollout(key, owner)
         self._mark_leaving()
@@ -521,7 +521,7 @@
     ) -> None:
         if report is None:
             for owner in self.shards.values():
-                owner.fleet.note_silence(name)
+                owner.fleet.note_missing_report(name)
             return
         for owner in self.shards.values():
             owner.correct_load(
@@ -541,14 +541,14 @@
     ) -> None:
         for owner in self.shards.values():
             if known := owner.fleet.backends.get(name):
-                known.cache.drop(changes.removed)
+                known.cache.evict(changes.removed)
                 known.cache.add(changes.stored)
 
     def _mark_leaving(self) -> None:
         leaving = self._leaving_listed | self._leaving_said
         for owner in self.shards.values():
             for name in owner.fleet.backends:
-                left = name in leaving or not owner.fleet.wants(name)
+                left = name in leaving or not owner.fleet.is_configured(name)
                 owner.fleet.set_state(
                     name,
                     backend.BackendState.LEAVING
