--- a/ramptray/core/blocklist.py
+++ b/ramptray/core/blocklist.py
@@ -1,9 +1,9 @@
-"""Contents that no backend server is given any more.
+"""The blocklist: contents that are not sent to backend servers.
 
-A content is blocked once it has ended several of the backend servers that
-began to run it.  Each VM keeps the whole list: a caller tries again at any VM,
-and each may become the owner of a shard.  Lists of two VMs are merged without
-an order between them, whichever was told last.
+A content is blocked after it has crashed several backend servers.  Every VM
+holds the whole list, since callers may retry at any VM and any VM may become
+the owner of a shard.  Lists of two VMs merge to the same result regardless of
+the order of updates.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 
 import msgspec
 
-FIRST_BLOCK_S = 600.0
-"""How long a content is first blocked, in seconds: a few tries of a caller's
-own repetition fit into it many times over, and one that was blocked in error is
+INITIAL_BLOCK_S = 600.0
+"""Duration of a content's first block, in seconds.  It is many times as long as
+callers take to retry, and short enough that a content blocked by mistake is
 served again the same day."""
 
 MAX_BLOCK_S = 6 * 3600.0
-"""Longest time a content is blocked, in seconds; each time is twice the one
-before, since each costs a backend server."""
+"""Longest duration of a block, in seconds.  Each block is twice as long as the
+previous one, since each costs a backend server."""
 
 MAX_BLOCKS = 4096
-"""Contents that are kept; the ones that end first make way.  An entry takes
+"""Blocks that are kept; those that expire first are evicted.  An entry takes
 some 300 bytes."""
 
 
 class Block(msgspec.Struct, frozen=True):
-    """What is known of a blocked content.
+    """A block of a content.
 
     Attributes:
         content: Digest of customer, path and body.
-        level: How often it was blocked; each time it is blocked for longer.
-        until: When it may be tried again, by the clock of this VM.
-        crashes: Backend servers that ended under it before it was blocked.
-        lifted: Whether an operator has lifted the block.
+        level: How often it was blocked; each block lasts longer.
+        until: When the block expires, by the clock of this VM.
+        crashes: Backend servers that it crashed before it was blocked.
+        lifted: Whether the block was lifted.
     """
 
     content: str
@@ -43,24 +43,24 @@
     crashes: int
     lifted: bool = False
 
-    def is_over(self, now: float) -> bool:
-        """Returns whether the content may be tried again."""
+    def is_inactive(self, now: float) -> bool:
+        """Returns whether the block is lifted or expired."""
         return self.lifted or now >= self.until
 
     def supersedes(self, other: Block) -> bool:
-        """Returns whether this is later word than the other's."""
+        """Returns whether this block is newer than the other."""
         if self.level != other.level:
             return self.level > other.level
         return self.lifted and not other.lifted
 
 
 class BlockUpdate(msgspec.Struct, frozen=True):
-    """A block as VMs tell it one another, who share no clock.
+    """A block as sent between VMs, which share no clock.
 
     Attributes:
         content: See ``Block``.
         level: See ``Block``.
-        left_s: Seconds until it may be tried again.
+        left_s: Seconds until the block expires.
         crashes: See ``Block``.
         lifted: See ``Block``.
     """
@@ -76,7 +76,7 @@
 
 
 class Blocklist:
-    """The blocked contents that a VM knows of."""
+    """The blocks that a VM knows of."""
 
     def __init__(self) -> None:
         self._blocks: dict[str, Block] = {}
@@ -87,56 +87,58 @@
         return len(self._blocks)
 
     def on_change(self, listener: BlockListener) -> None:
-        """Has a listener told of whatever is new."""
+        """Adds a listener for all new or changed blocks."""
         self._listeners.append(listener)
 
     def on_decision(self, listener: BlockListener) -> None:
-        """Has a listener told of what is decided here."""
+        """Adds a listener for blocks added or lifted by this VM."""
         self._decision_listeners.append(listener)
 
     def get_remaining_s(self, content: str, now: float) -> float:
-        """Returns for how many seconds a content stays blocked; 0 if it is not.
+        """Returns the remaining seconds of a block; 0 if not blocked.
 
         Args:
             content: The content; an empty one is never blocked.
             now: The clock of this VM.
         """
         found = self._blocks.get(content)
-        if found is None or found.is_over(now):
+        if found is None or found.is_inactive(now):
             return 0.0
         return found.until - now
 
     def count_in_force(self, now: float) -> int:
-        """Returns how many contents are blocked."""
-        return sum(not block.is_over(now) for block in self._blocks.values())
+        """Returns the number of blocked contents."""
+        return sum(
+            not block.is_inactive(now) for block in self._blocks.values()
+        )
 
     def was_blocked(self, content: str) -> bool:
-        """Returns whether a content is blocked, or was and is not lifted."""
+        """Returns whether a content has a block that was not lifted."""
         found = self._blocks.get(content)
         return found is not None and not found.lifted
 
     def block(self, content: str, crashes: int, now: float) -> Block:
-        """Blocks a content, longer than the last time."""
-        former = self._blocks.get(content)
-        level = former.level + 1 if former else 1
-        span_s = min(FIRST_BLOCK_S * 2 ** (level - 1), MAX_BLOCK_S)
-        made = Block(content, level, now + span_s, crashes)
-        self._decide(made, now)
-        return made
+        """Blocks a content, for longer than its previous block."""
+        previous = self._blocks.get(content)
+        level = previous.level + 1 if previous else 1
+        duration_s = min(INITIAL_BLOCK_S * 2 ** (level - 1), MAX_BLOCK_S)
+        new = Block(content, level, now + duration_s, crashes)
+        self._apply_decision(new, now)
+        return new
 
     def lift(self, content: str, now: float) -> bool:
-        """Lifts a block; tells whether there was one."""
+        """Lifts a block; returns whether the content was blocked."""
         found = self._blocks.get(content)
-        if found is None or found.is_over(now):
+        if found is None or found.is_inactive(now):
             return False
-        self._decide(msgspec.structs.replace(found, lifted=True), now)
+        self._apply_decision(msgspec.structs.replace(found, lifted=True), now)
         return True
 
-    def merge(self, told: Iterable[BlockUpdate], now: float) -> list[Block]:
-        """Takes what another VM tells; returns what was new."""
+    def merge(self, updates: Iterable[BlockUpdate], now: float) -> list[Block]:
+        """Merges updates from another VM; returns the blocks that were new."""
         blocks = [
             Block(n.content, n.level, now + n.left_s, n.crashes, n.lifted)
-            for n in told
+            for n in updates
         ]
         new = [
             block
@@ -144,35 +146,35 @@
             if block.content not in self._blocks
             or block.supersedes(self._blocks[block.content])
         ]
-        self._keep(new, now)
+        self._store(new, now)
         return new
 
     def list_updates(self, now: float) -> list[BlockUpdate]:
-        """Returns all that another VM needs to know."""
-        return [_make_news(block, now) for block in self._blocks.values()]
+        """Returns all blocks as updates for another VM."""
+        return [_make_update(block, now) for block in self._blocks.values()]
 
     def iterate(self) -> Iterator[Block]:
-        """Yields all blocks, also those that are over."""
+        """Yields all blocks, including inactive ones."""
         yield from self._blocks.values()
 
-    def _decide(self, block: Block, now: float) -> None:
-        self._keep([block], now)
+    def _apply_decision(self, block: Block, now: float) -> None:
+        self._store([block], now)
         for listener in self._decision_listeners:
-            listener([_make_news(block, now)])
+            listener([_make_update(block, now)])
 
-    def _keep(self, blocks: list[Block], now: float) -> None:
+    def _store(self, blocks: list[Block], now: float) -> None:
         if not blocks:
             return
         self._blocks.update({block.content: block for block in blocks})
         while len(self._blocks) > MAX_BLOCKS:
             first = min(self._blocks.values(), key=lambda block: block.until)
             del self._blocks[first.content]
-        news = [_make_news(block, now) for block in blocks]
+        updates = [_make_update(block, now) for block in blocks]
         for listener in self._listeners:
-            listener(news)
+            listener(updates)
 
 
-def _make_news(block: Block, now: float) -> BlockUpdate:
+def _make_update(block: Block, now: float) -> BlockUpdate:
     return BlockUpdate(
         block.content,
         block.level,
--- a/ramptray/core/membership.py
+++ b/ramptray/core/membership.py
@@ -1,9 +1,9 @@
-"""Which schedulers of a zone are alive, and which of them owns a shard.
+"""Tracks which schedulers of a zone are alive and assigns shards to them.
 
-A SWIM-like protocol: every period each scheduler probes one other member, and
-each probe and its answer carry a few recent changes.  So a node's heartbeat
-cost does not grow with the size of the zone or the number of zones.  Nothing
-that must hold rests on this view: a wrong one costs efficiency only.
+A SWIM-like protocol: in each period every scheduler probes one other member,
+and probes and their responses carry a few recent updates.  The cost per node
+thus does not grow with the size of the zone or the number of zones.  No
+correctness guarantee depends on this view: a wrong one only costs efficiency.
 """
 
 from __future__ import annotations
@@ -18,45 +18,45 @@
 import xxhash
 
 PROBE_INTERVAL_S = 0.5
-"""Time between two probes of a node, in seconds."""
+"""Time between two probes by a node, in seconds."""
 
 PROBE_TIMEOUT_S = 0.5
-"""How long an answer to a probe may take, in seconds."""
+"""How long the response to a probe may take, in seconds."""
 
-SUSPECT_S = 0.75
-"""How long a suspected member may still speak up, in seconds."""
+SUSPECT_TIMEOUT_S = 0.75
+"""How long a suspected member has to refute the suspicion, in seconds."""
 
 DEAD_RETENTION_S = 60.0
 """How long a dead member's record is kept, in seconds."""
 
-UPDATES_PER_MESSAGE = 12
-"""Changes that one message carries at most, some 2 KB: enough for all to agree
-within some rounds of probes after a fifth of two hundred members has gone."""
+MAX_UPDATES_PER_MESSAGE = 12
+"""Most updates that one message carries, some 2 KB.  It lets all members agree
+within a few rounds of probes after a fifth of 200 members has failed."""
 
-PAGE_MEMBERS = 48
-"""Members that one answer lists for whoever does not know all of them yet: some
-7 KB, a few milliseconds on a link of 10 Mbit/s."""
+PAGE_SIZE = 48
+"""Members per page of the full listing that new members request: some 7 KB, a
+few milliseconds on a link of 10 Mbit/s."""
 
-DIFFERENT_ANSWERS = 8
-"""Answers in a row by peers that know other members, after which all are listed
-anew: changes on their way take fewer."""
+MAX_DIGEST_MISMATCHES = 8
+"""Consecutive responses with a different digest after which the full listing is
+requested again.  Updates that are still spreading cause fewer."""
 
-FEW_MEMBERS = 16
-"""Up to so many others, a member probes all, for a quicker word of losses where
-connections are few; of more, only its neighbours."""
+FULL_MESH_MAX_PEERS = 16
+"""Up to this number of peers, a member probes all of them, which detects
+failures sooner at a small number of connections."""
 
-STRONG_PART = 0.75
-"""VMs with this part of the strongest one's processor time may own shards."""
+MIN_OWNER_CORES_FRACTION = 0.75
+"""Fraction of the largest VM's cores that a VM needs to own shards."""
 
-RING_PLACES = 2**64
-"""Places of the ring on which members have their neighbours."""
+RING_SIZE = 2**64
+"""Number of positions on the ring that determines probe targets."""
 
-SPREAD_FACTOR = 3
-"""A change is told this many times the logarithm of the members' number."""
+RETRANSMIT_FACTOR = 3
+"""Each update is sent this many times the logarithm of the member count."""
 
 
 class MemberState(enum.Enum):
-    """What is believed of a member; later ones override earlier ones."""
+    """State of a member; later states override earlier ones."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -64,24 +64,23 @@
     DEAD = "dead"
 
 
-_ORDER = {state: place for place, state in enumerate(MemberState)}
+_STATE_RANKS = {state: place for place, state in enumerate(MemberState)}
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A scheduler as its zone knows it.
+    """A scheduler as seen by its zone.
 
     Attributes:
         vm: Name of the VM it runs on.
         zone: Its availability zone.
-        address: IP number and port that its peers use.
-        incarnation: Grows when the member refutes a suspicion or restarts.
-        state: What is believed of it.
+        address: IP address and port for its peers.
+        incarnation: Increases when the member refutes a suspicion or restarts.
+        state: Its state.
         generation: The bundle generation in force on its VM.
-        availability_zone: Where the VM stands, where several availability zones
-            form one scheduling zone; empty where ``zone`` tells.
-        cores: Processor time that its VM has a second, in seconds of a core; 0
-            where that is not told.
-        link_mbps: What its VM's link carries, in megabits a second; likewise.
+        availability_zone: The VM's availability zone if several of them form
+            one scheduling zone; empty if it equals ``zone``.
+        cores: Processor time available to its VM, in cores; 0 if unknown.
+        link_mbps: Bandwidth of its VM's link, in Mbit/s; 0 if unknown.
     """
 
     vm: str
@@ -96,12 +95,16 @@
 
     def overrides(self, other: Member) -> bool:
         """Returns whether this record is newer than the other."""
-        mine = (self.incarnation, _ORDER[self.state], self.generation)
-        theirs = (other.incarnation, _ORDER[other.state], other.generation)
+        mine = (self.incarnation, _STATE_RANKS[self.state], self.generation)
+        theirs = (
+            other.incarnation,
+            _STATE_RANKS[other.state],
+            other.generation,
+        )
         return mine > theirs
 
 
-class _Known(msgspec.Struct):
+class _Record(msgspec.Struct):
     member: Member
     since: float
     told: int = 0
@@ -114,16 +117,16 @@
         me: This scheduler's own record.
         rng: Chooses whom to probe.
         now: The time, in seconds.
-        spreads_generations: Whether each member hears of the bundle generation
-            in force at every other one.  If not, only those that probe each
-            other do: among hundreds, each change of the bundle would be as many
-            changes of members, told by each of them some twenty times.
+        spreads_generations: Whether changes of a member's bundle generation
+            spread to all members.  If not, only members that probe each other
+            exchange them: with hundreds of members, each new bundle would
+            cause as many updates, each sent some 20 times by every member.
 
     Attributes:
-        version: Grows with each change of who is alive and where.
-        digest: The same for two views with the same living members.
-        wanted_after: Name after which the next members are to be listed by
-            whoever is probed; None if all were.
+        version: Increases with each change of a member's state or address.
+        digest: Hash of the live members; equal for equal views.
+        wanted_after: Name after which the next page of the full listing
+            begins; None if the listing is complete.
     """
 
     def __init__(
@@ -136,12 +139,12 @@
         self._me = me
         self._rng = rng
         self._spreads_generations = spreads_generations
-        self._known: dict[str, _Known] = {me.vm: _Known(me, now)}
-        self._round: list[str] = []
+        self._records: dict[str, _Record] = {me.vm: _Record(me, now)}
+        self._probe_round: list[str] = []
         self.version = 1
         self.wanted_after: str | None = ""
-        self.digest = _digest(me)
-        self._different = 0
+        self.digest = _hash_member(me)
+        self._digest_mismatches = 0
 
     @property
     def me(self) -> Member:
@@ -149,162 +152,169 @@
         return self._me
 
     def list_alive(self) -> list[Member]:
-        """Returns the members that may own shards, this one included."""
+        """Returns the live members, this one included."""
         return [
-            known.member
-            for known in self._known.values()
-            if known.member.state in (MemberState.ALIVE, MemberState.SUSPECT)
+            record.member
+            for record in self._records.values()
+            if record.member.state in (MemberState.ALIVE, MemberState.SUSPECT)
         ]
 
     def list_all(self) -> list[Member]:
         """Returns every record, dead members included."""
-        return [known.member for known in self._known.values()]
+        return [record.member for record in self._records.values()]
 
     def is_minority(self) -> bool:
-        """Returns whether at most half of the members can be heard.
+        """Returns whether at most half of the members are reachable.
 
-        Those that have left by their own will do not count.
+        Members that left deliberately do not count.
         """
-        states = [known.member.state for known in self._known.values()]
+        states = [record.member.state for record in self._records.values()]
         heard = states.count(MemberState.ALIVE)
         counted = len(states) - states.count(MemberState.LEFT)
         return 2 * heard <= counted
 
     def set_generation(self, generation: int, now: float) -> None:
-        """Notes the bundle generation in force on this VM."""
+        """Sets the bundle generation in force on this VM."""
         if generation != self._me.generation:
             self._set_me(generation=generation, now=now)
 
     def leave(self, now: float) -> None:
-        """Marks this member as leaving by its own will."""
+        """Marks this member as having left deliberately."""
         self._set_me(state=MemberState.LEFT, now=now)
 
     def pick_probe_target(self) -> Member | None:
-        """Returns the next neighbour: each once in a random round."""
-        while self._round:
-            known = self._known.get(self._round.pop())
-            if known and self._may_probe(known.member):
-                return known.member
-        self._round = [member.vm for member in self.list_probe_targets()]
-        self._rng.shuffle(self._round)
-        if not self._round:
+        """Returns the next probe target, in random order without repeats."""
+        while self._probe_round:
+            record = self._records.get(self._probe_round.pop())
+            if record and self._is_probe_candidate(record.member):
+                return record.member
+        self._probe_round = [member.vm for member in self.list_probe_targets()]
+        self._rng.shuffle(self._probe_round)
+        if not self._probe_round:
             return None
-        return self._known[self._round.pop()].member
+        return self._records[self._probe_round.pop()].member
 
     def list_probe_targets(self) -> list[Member]:
         """Returns the members that this one probes.
 
-        Load pattern: hundreds of VMs.  If each probed all in turn, each would
-        hold a connection to every other one.  Members stand on a ring in a
-        random order; each probes those 1, 2, 4, 8 ... places ahead, so it has
-        as many neighbours on either side as the logarithm of their number, and
-        news pass all of them in as many steps.
+        Load pattern: hundreds of VMs.  If each probed all others in turn, each
+        would hold a connection to every other one.  Members are ordered on a
+        ring by hash, and each probes those 1, 2, 4, 8 ... positions ahead.  So
+        the number of connections per member, and the number of steps in which
+        an update reaches all members, are logarithmic.
         """
         others = [
-            known.member
-            for known in self._known.values()
-            if self._may_probe(known.member)
+            record.member
+            for record in self._records.values()
+            if self._is_probe_candidate(record.member)
         ]
-        if len(others) <= FEW_MEMBERS:
+        if len(others) <= FULL_MESH_MAX_PEERS:
             return others
-        mine = _place_on_ring(self._me.vm)
-        others.sort(key=lambda m: (_place_on_ring(m.vm) - mine) % RING_PLACES)
+        mine = _get_ring_position(self._me.vm)
+        others.sort(key=lambda m: (_get_ring_position(m.vm) - mine) % RING_SIZE)
         steps = range(len(others).bit_length())
         return [others[2**step - 1] for step in steps]
 
     def list_page(self, after: str) -> list[Member]:
-        """Returns members that are alive, in the order of their names.
+        """Returns a page of the live members, sorted by name.
 
         Args:
-            after: Name after which the list begins.
+            after: Name after which the page begins.
         """
         later = [member for member in self.list_alive() if member.vm > after]
-        return heapq.nsmallest(PAGE_MEMBERS, later, key=lambda m: m.vm)
+        return heapq.nsmallest(PAGE_SIZE, later, key=lambda m: m.vm)
 
     def apply_page(self, page: list[Member], now: float) -> None:
-        """Takes the members that were listed when that was asked for."""
+        """Merges a requested page of the full listing."""
         self.merge(page, now)
-        whole = len(page) < PAGE_MEMBERS
-        self.wanted_after = None if whole else page[-1].vm
+        is_last = len(page) < PAGE_SIZE
+        self.wanted_after = None if is_last else page[-1].vm
 
     def compare_digest(self, digest: int) -> None:
-        """Has all members listed anew if others go on to know other ones.
+        """Requests the full listing again after repeated digest mismatches.
 
-        Changes are told some times only, so a member may miss one for good.
+        Updates are sent a limited number of times, so a member may miss one.
         """
-        self._different = 0 if digest == self.digest else self._different + 1
-        if self._different >= DIFFERENT_ANSWERS:
-            self._different = 0
+        self._digest_mismatches = (
+            0 if digest == self.digest else self._digest_mismatches + 1
+        )
+        if self._digest_mismatches >= MAX_DIGEST_MISMATCHES:
+            self._digest_mismatches = 0
             self.wanted_after = ""
 
     def pick_updates(self) -> list[Member]:
-        """Returns the changes to tell next, the least told ones first."""
-        most = SPREAD_FACTOR * math.ceil(math.log2(len(self._known) + 1))
-        fresh = [k for k in self._known.values() if k.told < most]
-        fresh.sort(key=lambda known: known.told)
-        chosen = fresh[:UPDATES_PER_MESSAGE]
-        for known in chosen:
-            known.told += 1
-        return [known.member for known in chosen]
+        """Returns the updates to send next, least often sent ones first."""
+        most = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self._records) + 1))
+        pending = [r for r in self._records.values() if r.told < most]
+        pending.sort(key=lambda record: record.told)
+        chosen = pending[:MAX_UPDATES_PER_MESSAGE]
+        for record in chosen:
+            record.told += 1
+        return [record.member for record in chosen]
 
     def merge(self, updates: list[Member], now: float) -> None:
-        """Takes what a peer told."""
+        """Merges updates from a peer."""
         for update in updates:
             if update.zone != self._me.zone:
                 continue
             if update.vm == self._me.vm:
                 self._refute(update, now)
                 continue
-            known = self._known.get(update.vm)
-            if known is None or update.overrides(known.member):
-                self._put(update, now)
-            elif known.member.overrides(update):
-                # Whoever believes an older word is told the newer one again;
-                # so a member that stood still learns that it counts as dead.
-                known.told = 0
+            record = self._records.get(update.vm)
+            if record is None or update.overrides(record.member):
+                self._update_record(update, now)
+            elif record.member.overrides(update):
+                # The peer has an older record, so send the newer one again.
+                # A member that was suspended thus learns that it counts as
+                # dead.
+                record.told = 0
 
     def suspect(self, vm: str, now: float) -> None:
-        """Notes that a member did not answer a probe."""
-        known = self._known.get(vm)
-        if known and known.member.state is MemberState.ALIVE:
+        """Marks a member that did not respond to a probe as suspected."""
+        record = self._records.get(vm)
+        if record and record.member.state is MemberState.ALIVE:
             suspected = msgspec.structs.replace(
-                known.member, state=MemberState.SUSPECT
+                record.member, state=MemberState.SUSPECT
             )
-            self._put(suspected, now)
+            self._update_record(suspected, now)
 
     def tick(self, now: float) -> None:
-        """Declares silent suspects dead and forgets the long dead."""
-        for vm, known in list(self._known.items()):
-            state = known.member.state
-            if state is MemberState.SUSPECT and now - known.since > SUSPECT_S:
-                self._put(
+        """Declares unrefuted suspects dead and removes expired records."""
+        for vm, record in list(self._records.items()):
+            state = record.member.state
+            if (
+                state is MemberState.SUSPECT
+                and now - record.since > SUSPECT_TIMEOUT_S
+            ):
+                self._update_record(
                     msgspec.structs.replace(
-                        known.member, state=MemberState.DEAD
+                        record.member, state=MemberState.DEAD
                     ),
                     now,
                 )
-            gone = state in (MemberState.DEAD, MemberState.LEFT)
+            is_gone = state in (MemberState.DEAD, MemberState.LEFT)
             if (
-                gone
+                is_gone
                 and vm != self._me.vm
-                and now - known.since > DEAD_RETENTION_S
+                and now - record.since > DEAD_RETENTION_S
             ):
-                # Its digest went when it did.
-                del self._known[vm]
+                # The digest has excluded it since it died or left.
+                del self._records[vm]
 
-    def _may_probe(self, member: Member) -> bool:
+    def _is_probe_candidate(self, member: Member) -> bool:
         alive = member.state in (MemberState.ALIVE, MemberState.SUSPECT)
         return alive and member.vm != self._me.vm
 
     def _refute(self, update: Member, now: float) -> None:
-        """Answers a false word about this member with a newer incarnation."""
+        """Refutes an incorrect record of this member with a new incarnation."""
         if self._me.state is MemberState.LEFT:
             return
         newer = update.incarnation > self._me.incarnation
-        doubted = update.state is not MemberState.ALIVE
-        moved = update.address != self._me.address
+        is_suspected = update.state is not MemberState.ALIVE
+        has_moved = update.address != self._me.address
         if newer or (
-            update.incarnation == self._me.incarnation and (doubted or moved)
+            update.incarnation == self._me.incarnation
+            and (is_suspected or has_moved)
         ):
             self._set_me(incarnation=update.incarnation + 1, now=now)
 
@@ -322,16 +332,18 @@
             state=me.state if state is None else state,
             generation=me.generation if generation is None else generation,
         )
-        self._put(self._me, now)
+        self._update_record(self._me, now)
 
-    def _put(self, member: Member, now: float) -> None:
-        known = self._known.get(member.vm)
-        old = known.member if known else None
+    def _update_record(self, member: Member, now: float) -> None:
+        record = self._records.get(member.vm)
+        old = record.member if record else None
         told = 0
-        if known and not self._spreads_generations:
-            told = known.told * _differs_by_generation(known.member, member)
-        self._known[member.vm] = _Known(member, now, told)
-        self.digest ^= _digest(member) ^ (_digest(old) if old else 0)
+        if record and not self._spreads_generations:
+            told = record.told * _differ_only_in_generation(
+                record.member, member
+            )
+        self._records[member.vm] = _Record(member, now, told)
+        self.digest ^= _hash_member(member) ^ (_hash_member(old) if old else 0)
         if old is None or (old.state, old.address) != (
             member.state,
             member.address,
@@ -340,28 +352,28 @@
 
 
 def list_strongest(members: Iterable[Member]) -> list[Member]:
-    """Returns the members whose VMs are about as strong as the strongest.
+    """Returns the members whose VMs have about as many cores as the largest.
 
-    An owner works for each request of its shard; where VMs are of unlike size,
-    the small ones would be short of processor time before the others.
+    An owner does work for each request of its shard; if VMs differ in size, the
+    small ones would run out of processor time before the others.
     """
-    known = list(members)
-    most = max((member.cores for member in known), default=0.0)
-    return [m for m in known if m.cores >= STRONG_PART * most]
+    candidates = list(members)
+    most = max((member.cores for member in candidates), default=0.0)
+    return [m for m in candidates if m.cores >= MIN_OWNER_CORES_FRACTION * most]
 
 
 def pick_owner(key: str, candidates: list[str]) -> str | None:
     """Returns the candidate with the highest weight for a key.
 
-    Rendezvous hashing: when a candidate goes, only its own keys move.
+    Rendezvous hashing: if a candidate is removed, only its own keys move.
 
     Args:
-        key: What is to be owned.
-        candidates: Names of those that may own it.
+        key: The key to be owned.
+        candidates: Names of possible owners.
     """
     return max(
         candidates,
-        key=lambda name: (_weigh(key, name), name),
+        key=lambda name: (_compute_weight(key, name), name),
         default=None,
     )
 
@@ -370,36 +382,38 @@
     """Returns the candidates with the highest weights for a key.
 
     Args:
-        key: What is to be owned.
-        candidates: Names of those that may own it.
-        count: How many are wanted.
+        key: The key to be owned.
+        candidates: Names of possible owners.
+        count: Number of owners to return.
     """
     ranked = sorted(
-        candidates, key=lambda name: (_weigh(key, name), name), reverse=True
+        candidates,
+        key=lambda name: (_compute_weight(key, name), name),
+        reverse=True,
     )
     return ranked[:count]
 
 
 def get_shard_number(name: str, shards: int) -> int:
-    """Returns the shard that a backend server or a prefix falls into."""
+    """Returns the shard number of a backend server or a prefix."""
     return xxhash.xxh3_64_intdigest(name.encode()) % shards
 
 
-def _place_on_ring(name: str) -> int:
+def _get_ring_position(name: str) -> int:
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
-def _differs_by_generation(one: Member, other: Member) -> bool:
+def _differ_only_in_generation(one: Member, other: Member) -> bool:
     return one == msgspec.structs.replace(other, generation=one.generation)
 
 
-def _digest(member: Member) -> int:
-    """Returns a living member's part of the digest; 0 for others."""
+def _hash_member(member: Member) -> int:
+    """Returns a live member's contribution to the digest; 0 for others."""
     if member.state not in (MemberState.ALIVE, MemberState.SUSPECT):
         return 0
     text = f"{member.vm}|{member.incarnation}|{member.address}"
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
-def _weigh(key: str, name: str) -> int:
+def _compute_weight(key: str, name: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{key}|{name}".encode())
--- a/ramptray/core/poison.py
+++ b/ramptray/core/poison.py
@@ -1,15 +1,16 @@
-"""Finds out which request ended the backend servers that ran it.
-
-A backend server that crashes takes all it runs with it: one culprit at most,
-and bystanders.  One crash tells them apart by nothing.  What does:
-
-- A culprit never ends well.  Whoever does is innocent.
-- A culprit is there each time.  Requests that were sent on together meet the
-  same crashes, so the one that explains most is looked for, and what it
-  explains speaks against nobody else.
-- Backend servers that end at the same moment have a cause outside, unless the
-  same content ran on each of them.
-- A culprit acts as it begins: one that has answered for a while did not.
+"""Detects poison requests, which crash the backend servers that run them.
+
+A crash ends all requests on the server, and one crash does not show which of
+them caused it.  Detection combines several crashes by these rules:
+
+- A poison request never completes.  A content that completes is cleared.
+- A poison request is present at each of its crashes.  Contents that were sent
+  together share the same crashes, so the content that explains the most crashes
+  is blocked first, and those crashes no longer count against other contents.
+- Servers that crash at the same group have an external cause, unless the same
+  content ran on each of them.
+- A poison request crashes the server soon after it starts.  A content that has
+  been streaming its response for a while is cleared.
 """
 
 from __future__ import annotations
@@ -21,60 +22,62 @@
 
 from ramptray.core import blocklist
 
-MOMENT_S = 0.05
-"""Crashes closer than this, in seconds, are one moment: VMs learn of a crash
-within a few milliseconds, a busy one within some ten."""
+GROUP_GAP_S = 0.05
+"""Largest gap between crashes of one group, in seconds.  VMs detect a crash
+within a few milliseconds, a loaded VM within some tens of them."""
 
-LONGEST_MOMENT_S = 0.15
-"""Longest span of crashes that follow one another as one moment, in seconds:
-one culprit sent on at once ends the next some 0.1 s later."""
+MAX_GROUP_SPAN_S = 0.15
+"""Longest span of a group of crashes, in seconds.  A poison request that is
+retried at once crashes the next server some 0.1 s later."""
 
 INNOCENT_AFTER_S = 0.5
-"""Who has answered for so long, in seconds, as the backend server ends is a
-bystander: a culprit acts as it begins."""
-
-FORGET_S = 600.0
-"""How long a crash speaks against whom it met, in seconds: callers that try
-again do so within seconds or minutes."""
-
-MAX_MOMENTS = 256
-"""Moments that are kept.  A moment holds what ran on the backend servers that
-ended, so this bounds the memory, and the work of a judgement, also where all
-of a large deployment crashes again and again."""
-
-RESTART_S = 1.0
-"""Shortest time in which a backend server that ended is back, in seconds."""
-
-MAX_ENDED = 1024
-"""Backend servers that ended which are remembered, so that each counts once."""
-
-MAX_SOUND = 4096
-"""Contents that are remembered to have ended well: those that are asked for
-often are among the latest of them."""
-
-NEEDED = 3
-"""Moments that must speak against a content before it is blocked.  A bystander
-is sent on once or twice; to refuse an innocent one is worse for its caller than
-one crash more is for the others."""
-
-NEEDED_OF_SOUND = 10
-"""The same for a content that has ended well before: one that many ask for is
-at each backend server that ends, and while most do, few of it end well."""
-
-NEEDED_OF_TIED = 5
-"""The same for several contents that met the very same crashes, which are then
-all blocked: nothing tells them apart any more, and one of them costs a backend
+"""A request that has been responding for this long, in seconds, did not cause
+the crash, since poison requests crash a server soon after they start."""
+
+CRASH_RETENTION_S = 600.0
+"""How long a crash counts against the contents involved, in seconds.  Callers
+retry within seconds or minutes."""
+
+MAX_CRASH_GROUPS = 256
+"""Crash groups that are kept.  A group holds the requests that ran on the
+crashed servers, so this bounds memory and the work of each detection, even if a
+large deployment crashes as a whole again and again."""
+
+MIN_RESTART_S = 1.0
+"""Shortest time in which a crashed backend server restarts, in seconds."""
+
+MAX_ENDED_SERVERS = 1024
+"""Crashed backend servers that are remembered, so that each crash counts
+once."""
+
+MAX_PROVEN_CONTENTS = 4096
+"""Contents that are remembered as having completed.  Frequently requested
+contents stay among the most recent ones."""
+
+MIN_GROUPS = 3
+"""Crash groups required before a content is blocked.  A harmless request is
+retried once or twice; refusing it costs its caller more than one further crash
+costs the other callers."""
+
+MIN_GROUPS_PROVEN = 10
+"""Crash groups required for a content that has completed before.  A frequently
+requested content runs on every server that crashes, and completes rarely while
+most servers crash."""
+
+MIN_GROUPS_TIED = 5
+"""Crash groups required to block several contents that share exactly the same
+crashes.  They can't be told apart any more, and one of them costs a backend
 server each time."""
 
 
 class RunningRequest(msgspec.Struct, frozen=True):
-    """A request that was at a backend server as it ended.
+    """A request that was running on a backend server when it crashed.
 
     Attributes:
         request_id: The request.
-        content: Its content; empty where that is not told.
-        sent_at: When it was sent there, by the owner's clock.
-        answered_s: Seconds since its answer began; None where it had not.
+        content: Digest of its content; empty if unknown.
+        sent_at: When it was sent to the server, by the owner's clock.
+        answered_s: Seconds since its response began; None if it had not.
     """
 
     request_id: str
@@ -84,7 +87,7 @@
 
 
 class Crash(msgspec.Struct):
-    """A backend server that ended, and who was there."""
+    """A crash of a backend server and the requests that ran on it."""
 
     backend: str
     run: int
@@ -92,12 +95,12 @@
     runners: dict[str, RunningRequest]
 
     def list_suspects(self) -> set[str]:
-        """Returns the contents of which one may have ended it."""
-        everybody = {runner.content for runner in self.runners.values()}
-        return everybody - self.list_innocents() - {""}
+        """Returns the contents that may have caused the crash."""
+        contents = {runner.content for runner in self.runners.values()}
+        return contents - self.list_innocents() - {""}
 
     def list_innocents(self) -> set[str]:
-        """Returns the contents that had answered for so long."""
+        """Returns the contents whose response began too long ago."""
         return {
             runner.content
             for runner in self.runners.values()
@@ -107,42 +110,42 @@
 
 
 class CrashGroup:
-    """Crashes that happened together."""
+    """Crashes close enough in time to share one cause."""
 
     def __init__(self, first: Crash) -> None:
         self.crashes = [first]
         self._cleared: set[str] = set()
 
-    def takes(self, crash: Crash) -> bool:
-        """Returns whether a crash happened at this moment, too."""
+    def includes(self, crash: Crash) -> bool:
+        """Returns whether a crash belongs to this group."""
         since_last = crash.at - self.crashes[-1].at
         since_first = crash.at - self.crashes[0].at
-        return since_last <= MOMENT_S and since_first <= LONGEST_MOMENT_S
+        return since_last <= GROUP_GAP_S and since_first <= MAX_GROUP_SPAN_S
 
     @property
     def at(self) -> float:
-        """When the last of them was."""
+        """The time of the last crash."""
         return self.crashes[-1].at
 
     def clear(self, content: str) -> None:
-        """Notes that a content did not cause it."""
+        """Excludes a content as the cause of this group."""
         self._cleared.add(content)
 
     def list_suspects(self) -> set[str]:
-        """Returns the contents that may have caused all of it."""
-        of_each = [crash.list_suspects() for crash in self.crashes]
-        return set.intersection(*of_each) - self._cleared
+        """Returns the contents that may have caused every crash of it."""
+        suspects = [crash.list_suspects() for crash in self.crashes]
+        return set.intersection(*suspects) - self._cleared
 
 
 class Detection(msgspec.Struct, frozen=True):
-    """A content that is blocked from now on, and why.
+    """A newly blocked content and the evidence for it.
 
     Attributes:
         block: The block.
-        count: Moments that spoke against it.
-        backends: Backend servers that ended under it.
-        request_ids: The requests of this content that ran there.
-        tied: Whether it could not be told apart from others.
+        count: Crash groups that it may have caused.
+        backends: Backend servers that crashed while running it.
+        request_ids: The requests with this content that ran on them.
+        tied: Whether other contents were involved in the same crashes.
     """
 
     block: blocklist.Block
@@ -153,18 +156,18 @@
 
 
 class PoisonDetector:
-    """What speaks for and against contents, as an owner has seen it.
+    """Collects crashes and completions at an owner and blocks poison contents.
 
     Args:
-        blocks: Where those that are found out go.
+        blocks: The blocklist that detected contents are added to.
     """
 
     def __init__(self, blocks: blocklist.Blocklist) -> None:
         self.blocks = blocks
-        self._moments: collections.deque[CrashGroup] = collections.deque(
-            maxlen=MAX_MOMENTS
+        self._groups: collections.deque[CrashGroup] = collections.deque(
+            maxlen=MAX_CRASH_GROUPS
         )
-        self._sound: collections.OrderedDict[str, None] = (
+        self._proven: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         self._ended_at: collections.OrderedDict[tuple[str, int], float] = (
@@ -173,135 +176,138 @@
         self._counts: dict[str, int] = {}
 
     def is_suspect(self, content: str) -> bool:
-        """Returns whether anything speaks against a content."""
+        """Returns whether a content is linked to a crash or was blocked."""
         return content in self._counts or self.blocks.was_blocked(content)
 
     def get_crash_count(self, content: str) -> int:
-        """Returns how many moments speak against a content."""
+        """Returns how many crash groups a content may have caused."""
         return self._counts.get(content, 0)
 
     def record_crash(self, crash: Crash) -> list[Detection]:
-        """Takes a backend server that ended; returns who is found out.
+        """Records a crash; returns newly blocked contents.
 
-        Each request that was there tells of it; the first one counts.
+        Each request on the server reports the crash; only the first counts.
         """
         if self.has_ended(crash):
             return []
-        self._note_end(crash)
-        self._forget_old(crash.at)
-        if self._is_explained(crash):
+        self._record_end(crash)
+        self._drop_expired(crash.at)
+        if self._has_blocked_content(crash):
             return []
         for content in crash.list_innocents():
             self._clear(content)
-        if self._moments and self._moments[-1].takes(crash):
-            self._moments[-1].crashes.append(crash)
+        if self._groups and self._groups[-1].includes(crash):
+            self._groups[-1].crashes.append(crash)
         else:
-            self._moments.append(CrashGroup(crash))
-        return self._judge(crash.at)
+            self._groups.append(CrashGroup(crash))
+        return self._detect(crash.at)
 
     def exclude_request(self, request_id: str) -> None:
-        """Notes that a request had not reached a backend server that ended."""
-        for moment in self._moments:
-            for crash in moment.crashes:
+        """Removes a request that had not reached the crashed server."""
+        for group in self._groups:
+            for crash in group.crashes:
                 if crash.runners.pop(request_id, None) is not None:
-                    self._count()
+                    self._update_counts()
                     return
 
     def record_success(self, content: str, now: float) -> list[Detection]:
-        """Notes that a request has ended well; returns who is found out."""
+        """Records a completed request; returns newly blocked contents."""
         if not content:
             return []
-        # A run that was sent before it was blocked has shown it innocent.
+        # It was sent before the block and completed, so the block was wrong.
         self.blocks.lift(content, now)
         self._clear(content)
-        return self._judge(now) if content in self._counts else []
+        return self._detect(now) if content in self._counts else []
 
     def _clear(self, content: str) -> None:
-        """Notes that a content is innocent of what has been seen so far."""
-        self._sound[content] = None
-        self._sound.move_to_end(content)
-        while len(self._sound) > MAX_SOUND:
-            self._sound.popitem(last=False)
+        """Clears a content of all crashes recorded so far."""
+        self._proven[content] = None
+        self._proven.move_to_end(content)
+        while len(self._proven) > MAX_PROVEN_CONTENTS:
+            self._proven.popitem(last=False)
         if content in self._counts:
-            for moment in self._moments:
-                moment.clear(content)
+            for group in self._groups:
+                group.clear(content)
 
     def has_ended(self, crash: Crash) -> bool:
-        """Returns whether this run is known to have ended.
+        """Returns whether the end of this run is already recorded.
 
-        One that does not tell its runs may end again once it had the time to
-        start, under requests that were sent to it since.  A VM that stood still
-        tells late of those that were sent before.
+        A server that reports no run number (0) counts as crashed again only
+        after the time of a restart, and only if a request was sent to it since.
+        A VM that was suspended may report requests sent before the crash late.
         """
         ended_at = self._ended_at.get((crash.backend, crash.run))
         if ended_at is None:
             return False
-        if crash.run != 0 or crash.at - ended_at < RESTART_S:
+        if crash.run != 0 or crash.at - ended_at < MIN_RESTART_S:
             return True
         return all(r.sent_at <= ended_at for r in crash.runners.values())
 
-    def _note_end(self, crash: Crash) -> None:
+    def _record_end(self, crash: Crash) -> None:
         self._ended_at[crash.backend, crash.run] = crash.at
-        while len(self._ended_at) > MAX_ENDED:
+        while len(self._ended_at) > MAX_ENDED_SERVERS:
             self._ended_at.popitem(last=False)
 
-    def _is_explained(self, crash: Crash) -> bool:
-        """Returns whether a blocked content was there, sent before it was."""
+    def _has_blocked_content(self, crash: Crash) -> bool:
+        """Returns whether a suspect is blocked, but was sent before that."""
         return any(
             self.blocks.get_remaining_s(content, crash.at) > 0
             for content in crash.list_suspects()
         )
 
-    def _forget_old(self, now: float) -> None:
-        while self._moments and now - self._moments[0].at > FORGET_S:
-            self._moments.popleft()
+    def _drop_expired(self, now: float) -> None:
+        while self._groups and now - self._groups[0].at > CRASH_RETENTION_S:
+            self._groups.popleft()
 
-    def _count(self) -> None:
-        """Counts the moments that speak against each content."""
+    def _update_counts(self) -> None:
+        """Counts the crash groups that each content may have caused."""
         self._counts = collections.Counter(
             content
-            for moment in self._moments
-            for content in moment.list_suspects()
+            for group in self._groups
+            for content in group.list_suspects()
         )
 
-    def _judge(self, now: float) -> list[Detection]:
-        """Blocks whoever explains most, while that is enough."""
-        verdicts: list[Detection] = []
-        self._count()
-        # Those that another VM has found out explain what was seen here.
-        self._settle(
+    def _detect(self, now: float) -> list[Detection]:
+        """Blocks the contents that explain the most crash groups.
+
+        Repeats until no remaining content reaches its threshold.
+        """
+        detections: list[Detection] = []
+        self._update_counts()
+        # Contents that another VM has blocked explain the crashes seen here.
+        self._drop_explained(
             c for c in self._counts if self.blocks.get_remaining_s(c, now)
         )
-        self._count()
-        while found := self._find_culprits():
+        self._update_counts()
+        while found := self._find_poison_contents():
             for content in found:
-                verdicts.append(self._block(content, now, len(found) > 1))
-            self._settle(found)
-            self._count()
-        return verdicts
+                detections.append(self._block(content, now, len(found) > 1))
+            self._drop_explained(found)
+            self._update_counts()
+        return detections
 
-    def _find_culprits(self) -> list[str]:
-        """Returns the contents to block: several that cannot be told apart."""
+    def _find_poison_contents(self) -> list[str]:
+        """Returns the contents to block; several if they are tied."""
         if again := [c for c in self._counts if self.blocks.was_blocked(c)]:
-            # It was blocked before, and has done it again.
+            # One more crash after an earlier block is enough.
             return again
         if not self._counts:
             return []
         most = max(self._counts.values())
         first = [c for c, count in self._counts.items() if count == most]
-        if len(first) > 1 and most < NEEDED_OF_TIED:
+        if len(first) > 1 and most < MIN_GROUPS_TIED:
             return []
-        return [c for c in first if most >= self._get_needed(c)]
+        return [c for c in first if most >= self._get_min_groups(c)]
 
-    def _get_needed(self, content: str) -> int:
-        return NEEDED_OF_SOUND if content in self._sound else NEEDED
+    def _get_min_groups(self, content: str) -> int:
+        return MIN_GROUPS_PROVEN if content in self._proven else MIN_GROUPS
 
     def _block(self, content: str, now: float, tied: bool) -> Detection:
         crashes = [
             crash
-            for moment in self._moments
-            if content in moment.list_suspects()
-            for crash in moment.crashes
+            for group in self._groups
+            if content in group.list_suspects()
+            for crash in group.crashes
         ]
         ids = [
             runner.request_id
@@ -314,9 +320,9 @@
         backends = tuple(crash.backend for crash in crashes)
         return Detection(made, count, backends, tuple(ids), tied)
 
-    def _settle(self, culprits: Iterable[str]) -> None:
-        """Drops the moments that are explained."""
-        found = set(culprits)
-        left = [m for m in self._moments if not found & m.list_suspects()]
-        self._moments.clear()
-        self._moments.extend(left)
+    def _drop_explained(self, contents: Iterable[str]) -> None:
+        """Drops the crash groups that the given contents explain."""
+        found = set(contents)
+        left = [g for g in self._groups if not found & g.list_suspects()]
+        self._groups.clear()
+        self._groups.extend(left)
--- a/ramptray/core/rollout.py
+++ b/ramptray/core/rollout.py
@@ -1,11 +1,11 @@
-"""Decides on a rollout: how much a new release gets, and whether it is good.
+"""Decides whether a rollout of a new release completes or is rolled back.
 
-A plain object without sockets, a clock or chance.  Its owner asks before each
-grant whether a backend server of either release may be chosen, tells it how
-answers went, and asks at each tick what has become of the rollout.
+A plain object without sockets, clock or randomness.  The owner of the service
+asks it before each grant whether a release may receive the request, records
+how responses went, and advances the rollout at each tick.
 
-Load pattern: a release that fails or is slow, at once, after a while, under
-load or on one route only, beside servers that fail for reasons of their own.
+Load pattern: the new release may fail or be slow from the start, after a while,
+under load or on a single route, next to servers that fail for other reasons.
 """
 
 from __future__ import annotations
@@ -15,85 +15,92 @@
 
 import msgspec
 
-CANARY_PART = 0.7
-"""Part of the permitted share that a release gets until it is promoted; what is
-left covers the promotion of a release that turns out bad under load."""
+CANARY_SHARE_FRACTION = 0.7
+"""Fraction of the permitted share that a release receives before promotion.
+The remainder covers a release that turns out to be bad under load while it is
+promoted."""
 
-SLACK_PART = 0.6
-"""Part of the permitted requests beyond the share that are used: a service with
-little traffic learns nothing from a share of it."""
+SLACK_FRACTION = 0.6
+"""Fraction of the slack (the requests permitted beyond the share) that is used.
+With little traffic, the share alone gives too few responses to judge by."""
 
 RAMP_AT = 0.55
-"""When the release gets more, as a part of the rollout's time."""
+"""When the release's share is increased, as a fraction of the rollout's
+duration."""
 
 RAMP_SHARE = 0.2
-"""Share of the requests that it gets then."""
+"""Share of the requests that the release receives from then on."""
 
 DRAIN_AT = 0.65
-"""When the old release gets nothing more, as a part of the rollout's time: what
-runs there has the rest of it to end."""
+"""When the old release stops receiving requests, as a fraction of the rollout's
+duration.  Its running requests have the remaining time to finish."""
 
-SOUND_EVIDENCE = 3.0
-"""Logarithm of the evidence that a release fails no more often than the old
-one, without which it is not promoted: some twenty answers without a failure."""
+HEALTHY_EVIDENCE = 3.0
+"""Log-likelihood ratio required for promotion, in favor of the release failing
+no more often than the old one.  Some 20 successful responses reach it."""
 
-RAMP_ANSWERS = 20
-"""Answers of the release with more of the requests, without which it does not
-get all of them."""
+MIN_RAMP_RESPONSES = 20
+"""Responses of the release at the increased share that are required before it
+receives all requests."""
 
-RAMP_BY = 0.8
-"""Part of the rollout's time after which it gets all of them without that many:
-a service with little traffic."""
+RAMP_DEADLINE = 0.8
+"""Fraction of the rollout's duration after which the release receives all
+requests even with fewer responses, for services with little traffic."""
 
-LAST_ANSWERS = 25
-"""Answers of the release with all of the requests, without which the old one is
-not let go."""
+MIN_FINAL_RESPONSES = 25
+"""Responses of the release to all of the requests that are required before the
+rollout completes."""
 
-LAST_BY = 0.92
-"""Part of the rollout's time after which it is let go without that many."""
+COMPLETION_DEADLINE = 0.92
+"""Fraction of the rollout's duration after which the rollout completes even
+with fewer responses."""
 
-LEAST_STAGE = 0.1
-"""Shortest part of the rollout's time for which it gets more, or all of them,
-where fewer answers than wanted come."""
+MIN_STAGE = 0.1
+"""Shortest stage of an increased share, or of all requests, if there are too
+few responses, as a fraction of the rollout's duration."""
 
-LEAST_PLACES_PART = 0.5
-"""The new release must have this part of the old one's places, at least, before
-it takes all of the traffic."""
+MIN_CAPACITY_FRACTION = 0.5
+"""The new release needs at least this fraction of the old one's slots before it
+receives all of the traffic."""
 
-USUAL_FAILURES = 0.02
-"""Part of the answers that may fail of any release, at least."""
+MIN_BASELINE_FAILURE_RATE = 0.02
+"""Lower bound of the failure rate that is expected of any release."""
 
-MANY_FAILURES = 0.15
-"""A bad release fails by so much more of its answers than the old one."""
+BAD_FAILURE_RATE_INCREASE = 0.15
+"""Increase of the failure rate over the old release's that a bad release is
+assumed to have."""
 
 FAILURE_EVIDENCE = 8.0
-"""Logarithm of the evidence at which a release counts as failing: one that is
-as good as the old one reaches it once in some thousand answers."""
+"""Log-likelihood ratio at which a release counts as failing.  A release that is
+as good as the old one reaches it about once in some thousand responses."""
 
-SLOWER = math.log(2.2)
-"""Logarithm of how many times slower than the old release is taken to be bad;
-bad ones are several times slower."""
+TOLERATED_LOG_SLOWDOWN = math.log(2.2)
+"""Logarithm of the slowdown over the old release that is tolerated.  Bad
+releases are several times slower."""
 
-MOST_SLOWER = math.log(6.0)
-"""What one answer counts at most: a single one may have been held up."""
+MAX_LOG_SLOWDOWN = math.log(6.0)
+"""Upper bound of one response's logarithmic slowdown, since a single response
+may have been delayed by chance."""
 
-SLOW_EVIDENCE = 5.0
-"""Sum of the logarithms beyond that at which a release counts as slow."""
+SLOWDOWN_EVIDENCE = 5.0
+"""Sum of logarithmic slowdowns beyond the tolerated one at which a release
+counts as slow."""
 
-LEARNING_RATE = 0.05
-"""Weight of the newest answer of the old release in what is usual."""
+BASELINE_LEARNING_RATE = 0.05
+"""Weight of the newest response of the old release in the baseline."""
 
-LEAST_USUAL = 5
-"""Answers of the old release on a route without which nothing is slow there."""
+MIN_BASELINE_RESPONSES = 5
+"""Responses of the old release on a route that are required before the new one
+can count as slow there."""
 
 ALL_ROUTES = ""
 
-LEAST_PACE = 1e-6
+MIN_TIME_S = 1e-6
 """Shortest time that is compared, in seconds."""
 
 
 class State(enum.Enum):
-    """What has become of a rollout; the last two are final."""
+    """State of a rollout; the last two are final."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -101,20 +108,20 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether it never changes any more."""
+        """Whether the state can no longer change."""
         return self is not State.RUNNING
 
 
 class Order(msgspec.Struct, frozen=True):
-    """What operators have asked for.
+    """A rollout as ordered by operators.
 
     Attributes:
         service: The service.
-        release: The release that is to take its traffic.
-        length_s: Time within which it is to be decided, in seconds.
-        began_at: When this VM learned of the order, on its steady clock.
-        share: Part of the service's requests that a bad release may get.
-        slack: Requests that it may get beyond that.
+        release: The release to move the traffic to.
+        length_s: Time within which the rollout is decided, in seconds.
+        began_at: When this VM received the order, on its monotonic clock.
+        share: Fraction of the service's requests that a bad release may get.
+        slack: Requests that it may receive beyond that.
     """
 
     service: str
@@ -125,7 +132,7 @@
     slack: float = 50.0
 
     def is_same(self, other: Order | None) -> bool:
-        """Returns whether two orders ask for the same."""
+        """Returns whether two orders are for the same service and release."""
         return other is not None and (self.service, self.release) == (
             other.service,
             other.release,
@@ -133,14 +140,14 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What was decided on a release.
+    """The decision on a release.
 
     Attributes:
         service: The service.
         release: The release.
-        state: What has become of its rollout.
+        state: The state of its rollout.
         reason: Why, in a few words.
-        is_kept: Whether the log keeps it, so that it never changes any more.
+        is_kept: Whether it is stored in the log and thus immutable if final.
     """
 
     service: str
@@ -150,7 +157,7 @@
     is_kept: bool = False
 
     def replaces(self, other: Verdict | None) -> bool:
-        """Returns whether this one replaces another on the same service."""
+        """Returns whether this verdict replaces one on the same service."""
         if other is None or other.release != self.release:
             return True
         if other.is_kept and other.state.is_final:
@@ -160,15 +167,15 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """How one answer went.
+    """The outcome of one response.
 
     Attributes:
-        is_new: Whether the release that is rolled out gave it.
+        is_new: Whether it came from the release being rolled out.
         route: Its route.
-        failed: Whether it was a failure.
-        first: Time to its first token, relative to its prompt; None where that
-            says nothing.
-        pace: Time of a later token, in seconds; None where there was none.
+        failed: Whether it failed.
+        first: Time to the first token relative to the size of the prompt; None
+            if it is not meaningful.
+        pace: Time per later token, in seconds; None if there was none.
     """
 
     is_new: bool
@@ -178,77 +185,83 @@
     pace: float | None = None
 
 
-class _Failures:
-    """Compares how often answers of two releases fail, on one route."""
+class _FailureComparison:
+    """Compares the failure rates of two releases on one route."""
 
     def __init__(self) -> None:
-        self._usual = USUAL_FAILURES
+        self._baseline = MIN_BASELINE_FAILURE_RATE
         self.evidence = 0.0
-        self.sound = 0.0
+        self.healthy_evidence = 0.0
 
-    def take(self, answer: Response) -> None:
-        if not answer.is_new:
-            self._usual += LEARNING_RATE * (answer.failed - self._usual)
+    def record(self, response: Response) -> None:
+        if not response.is_new:
+            self._baseline += BASELINE_LEARNING_RATE * (
+                response.failed - self._baseline
+            )
             return
-        usual = max(USUAL_FAILURES, self._usual)
-        bad = min(0.95, usual + MANY_FAILURES)
-        step = math.log(bad / usual)
-        if not answer.failed:
-            step = math.log((1 - bad) / (1 - usual))
-        # A release may turn bad late: what went well before does not count.
+        baseline = max(MIN_BASELINE_FAILURE_RATE, self._baseline)
+        bad = min(0.95, baseline + BAD_FAILURE_RATE_INCREASE)
+        step = math.log(bad / baseline)
+        if not response.failed:
+            step = math.log((1 - bad) / (1 - baseline))
+        # The sum is clamped at 0, as a release may turn bad late: earlier
+        # successes must not offset its failures.
         self.evidence = max(0.0, self.evidence + step)
-        self.sound -= step
+        self.healthy_evidence -= step
 
     @property
     def is_bad(self) -> bool:
         return self.evidence >= FAILURE_EVIDENCE
 
 
-class _Slowness:
-    """Compares how long answers of two releases take, on one route."""
+class _LatencyComparison:
+    """Compares the latencies of two releases on one route."""
 
     def __init__(self) -> None:
-        self._usual = 0.0
+        self._baseline = 0.0
         self._count = 0
         self.evidence = 0.0
 
-    def take(self, is_new: bool, taken: float) -> None:
-        found = math.log(max(taken, LEAST_PACE))
+    def record(self, is_new: bool, time_s: float) -> None:
+        log_time = math.log(max(time_s, MIN_TIME_S))
         if not is_new:
             self._count += 1
-            weight = max(LEARNING_RATE, 1 / self._count)
-            self._usual += weight * (found - self._usual)
-        elif self._count >= LEAST_USUAL:
-            slower = min(found - self._usual, MOST_SLOWER) - SLOWER
-            self.evidence = max(0.0, self.evidence + slower)
+            weight = max(BASELINE_LEARNING_RATE, 1 / self._count)
+            self._baseline += weight * (log_time - self._baseline)
+        elif self._count >= MIN_BASELINE_RESPONSES:
+            excess = (
+                min(log_time - self._baseline, MAX_LOG_SLOWDOWN)
+                - TOLERATED_LOG_SLOWDOWN
+            )
+            self.evidence = max(0.0, self.evidence + excess)
 
     @property
     def is_bad(self) -> bool:
-        return self.evidence >= SLOW_EVIDENCE
+        return self.evidence >= SLOWDOWN_EVIDENCE
 
 
-class _Route:
-    """What is known of both releases on one route."""
+class _RouteComparison:
+    """Compares the responses of two releases on one route."""
 
     def __init__(self) -> None:
-        self._failures = _Failures()
-        self._first = _Slowness()
-        self._pace = _Slowness()
+        self._failures = _FailureComparison()
+        self._first = _LatencyComparison()
+        self._pace = _LatencyComparison()
 
-    def take(self, answer: Response) -> None:
-        self._failures.take(answer)
-        if answer.first is not None and not answer.failed:
-            self._first.take(answer.is_new, answer.first)
-        if answer.pace is not None and not answer.failed:
-            self._pace.take(answer.is_new, answer.pace)
+    def record(self, response: Response) -> None:
+        self._failures.record(response)
+        if response.first is not None and not response.failed:
+            self._first.record(response.is_new, response.first)
+        if response.pace is not None and not response.failed:
+            self._pace.record(response.is_new, response.pace)
 
     @property
-    def is_sound(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether the new release fails no more often than the old one."""
-        return self._failures.sound >= SOUND_EVIDENCE
+        return self._failures.healthy_evidence >= HEALTHY_EVIDENCE
 
-    def find_fault(self) -> str:
-        """Returns what is bad of the new release; empty for nothing."""
+    def describe_problem(self) -> str:
+        """Returns what is wrong with the new release; empty for nothing."""
         if self._failures.is_bad:
             return "fails more often"
         if self._first.is_bad:
@@ -259,12 +272,12 @@
 
 
 class Capacity(msgspec.Struct, frozen=True):
-    """What a service has of both releases.
+    """Slots and running requests of both releases.
 
     Attributes:
-        new: Places of the release that is rolled out.
-        old: Places of all others.
-        old_running: Requests that run on the others.
+        new: Slots of the release being rolled out.
+        old: Slots of all other releases.
+        old_running: Requests running on the other releases.
     """
 
     new: int
@@ -273,18 +286,18 @@
 
 
 class Rollout:
-    """One rollout, as the owner of its service decides on it.
+    """A rollout as decided by the owner of its service.
 
     Args:
-        order: What was asked for.
+        order: The order.
 
     Attributes:
-        order: What was asked for.
-        state: What has become of it.
+        order: The order.
+        state: The state.
         reason: Why, in a few words.
-        sent_new: Requests that were granted to the release.
-        sent: Requests that were granted at all.
-        answers_new: Answers of the release.
+        sent_new: Requests that were granted to the new release.
+        sent: Requests that were granted in total.
+        answers_new: Responses of the new release.
         failures_new: Failures among them.
     """
 
@@ -296,124 +309,129 @@
         self.sent = 0
         self.answers_new = 0
         self.failures_new = 0
-        self._routes: dict[str, _Route] = {}
-        self._share = order.share * CANARY_PART
+        self._routes: dict[str, _RouteComparison] = {}
+        self._share = order.share * CANARY_SHARE_FRACTION
         self._slack = 1.0
-        # What had been granted when the share was set.
-        self._sent_before = 0
-        self._new_before = 0
-        # Its answers when it got more, and when it got all; None before.
-        self._ramp_answers: int | None = None
-        self._drain_answers: int | None = None
-        self._stage_at = 0.0
-        # The releases that it is to replace.
-        self._old: set[str] = set()
+        # Requests that had been granted when the share was last increased.
+        self._sent_at_ramp = 0
+        self._sent_new_at_ramp = 0
+        # Responses of the new release when its share was increased, and when
+        # the old release began to drain; None before.
+        self._responses_at_ramp: int | None = None
+        self._responses_at_drain: int | None = None
+        self._stage_started_at = 0.0
+        # The releases that the new one replaces.
+        self._old_releases: set[str] = set()
 
     def may_receive(self, release: str, part: float) -> bool:
-        """Returns whether a request may be granted to a release.
+        """Returns whether a release may receive a request.
 
         Args:
             release: The release.
-            part: The part of what is shared by all owners that is this one's.
+            part: This owner's fraction of what all owners share.
         """
         is_new = release == self.order.release
         if self.state is State.COMPLETED:
-            # Releases that come later are none of this rollout's.
-            return release not in self._old
+            # This rollout does not affect releases that appear later.
+            return release not in self._old_releases
         if not is_new:
-            self._old.add(release)
-            return self._drain_answers is None
-        if self._drain_answers is not None:
+            self._old_releases.add(release)
+            return self._responses_at_drain is None
+        if self._responses_at_drain is not None:
             return True
         if self.state is State.ROLLED_BACK:
             return False
-        sent = self.sent - self._sent_before
-        sent_new = self.sent_new - self._new_before
+        sent = self.sent - self._sent_at_ramp
+        sent_new = self.sent_new - self._sent_new_at_ramp
         return sent_new + 1 <= self._share * (sent + 1) + self._slack * part
 
     def count_request(self, is_new: bool) -> None:
-        """Counts a request that was granted."""
+        """Counts a granted request."""
         self.sent += 1
         self.sent_new += is_new
 
-    def record_response(self, answer: Response) -> None:
-        """Takes how an answer went; a bad release is given up at once."""
-        self.answers_new += answer.is_new
-        self.failures_new += answer.is_new and answer.failed
-        # What is bad on one route only is found there, what is bad on all of
-        # them sooner by all answers together.
-        for name in dict.fromkeys((answer.route, ALL_ROUTES)):
-            route = self._routes.setdefault(name, _Route())
-            route.take(answer)
-            fault = route.find_fault()
-            if fault and self.state is State.RUNNING:
+    def record_response(self, response: Response) -> None:
+        """Records a response; rolls a bad release back at once."""
+        self.answers_new += response.is_new
+        self.failures_new += response.is_new and response.failed
+        # A problem on a single route shows up in that route's comparison; a
+        # problem on all routes shows up sooner in the combined one.
+        for name in dict.fromkeys((response.route, ALL_ROUTES)):
+            route = self._routes.setdefault(name, _RouteComparison())
+            route.record(response)
+            problem = route.describe_problem()
+            if problem and self.state is State.RUNNING:
                 where = name or "all routes"
-                self._end(State.ROLLED_BACK, f"{fault} on {where}")
+                self._finish(State.ROLLED_BACK, f"{problem} on {where}")
 
     def apply_verdict(self, verdict: Verdict) -> None:
-        """Takes what another owner has decided, or what the log keeps."""
+        """Applies a verdict of another owner or of the log."""
         if verdict.release != self.order.release or not verdict.state.is_final:
             return
         if verdict.is_kept or not self.state.is_final:
-            self._end(verdict.state, verdict.reason)
+            self._finish(verdict.state, verdict.reason)
 
     def make_verdict(self) -> Verdict:
-        """Returns what is decided here."""
+        """Returns this owner's verdict."""
         return Verdict(
             self.order.service, self.order.release, self.state, self.reason
         )
 
-    def advance(self, places: Capacity, now: float) -> State:
-        """Goes on as far as time and evidence allow; returns the state.
+    def advance(self, capacity: Capacity, now: float) -> State:
+        """Advances as far as time and evidence allow; returns the state.
 
         Args:
-            places: What there is of both releases.
-            now: The owner's steady clock.
+            capacity: Slots and running requests of both releases.
+            now: The owner's monotonic clock.
         """
         if self.state.is_final:
             return self.state
-        age = (now - self.order.began_at) / self.order.length_s
-        if self._ramp_answers is None:
-            # Spread over the time, as a release may turn bad late.
-            spread = min(1.0, age / RAMP_AT)
-            self._slack = max(1.0, self.order.slack * SLACK_PART * spread)
+        progress = (now - self.order.began_at) / self.order.length_s
+        if self._responses_at_ramp is None:
+            # The slack is spread over time, as a release may turn bad late.
+            spread = min(1.0, progress / RAMP_AT)
+            self._slack = max(1.0, self.order.slack * SLACK_FRACTION * spread)
         known = self._routes.get(ALL_ROUTES)
         ready = (
             known is not None
-            and known.is_sound
-            and places.new >= LEAST_PLACES_PART * places.old
+            and known.is_healthy
+            and capacity.new >= MIN_CAPACITY_FRACTION * capacity.old
         )
-        if ready or self._drain_answers is not None:
-            self._promote(age, places)
+        if ready or self._responses_at_drain is not None:
+            self._promote(progress, capacity)
         return self.state
 
-    def _promote(self, age: float, places: Capacity) -> None:
-        """Gives a sound release more, then all, then ends the old one."""
-        if self._ramp_answers is None:
-            if age >= RAMP_AT:
-                self._ramp_up()
-                self._stage_at = age
-        elif self._drain_answers is None:
-            since = self.answers_new - self._ramp_answers
-            enough = age >= DRAIN_AT and since >= RAMP_ANSWERS
-            if enough or age >= max(RAMP_BY, self._stage_at + LEAST_STAGE):
-                self._drain_answers = self.answers_new
-                self._stage_at = age
-        elif not places.old_running:
-            since = self.answers_new - self._drain_answers
-            enough = since >= LAST_ANSWERS
-            if enough or age >= max(LAST_BY, self._stage_at + LEAST_STAGE):
-                self._end(State.COMPLETED, "its answers were as good")
-
-    def _ramp_up(self) -> None:
-        """Gives the release more of what is granted from now on."""
-        self._ramp_answers = self.answers_new
+    def _promote(self, progress: float, capacity: Capacity) -> None:
+        """Increases the share, then drains the old release, then completes."""
+        if self._responses_at_ramp is None:
+            if progress >= RAMP_AT:
+                self._increase_share()
+                self._stage_started_at = progress
+        elif self._responses_at_drain is None:
+            since = self.answers_new - self._responses_at_ramp
+            enough = progress >= DRAIN_AT and since >= MIN_RAMP_RESPONSES
+            if enough or progress >= max(
+                RAMP_DEADLINE, self._stage_started_at + MIN_STAGE
+            ):
+                self._responses_at_drain = self.answers_new
+                self._stage_started_at = progress
+        elif not capacity.old_running:
+            since = self.answers_new - self._responses_at_drain
+            enough = since >= MIN_FINAL_RESPONSES
+            if enough or progress >= max(
+                COMPLETION_DEADLINE, self._stage_started_at + MIN_STAGE
+            ):
+                self._finish(State.COMPLETED, "its answers were as good")
+
+    def _increase_share(self) -> None:
+        """Increases the share for the requests granted from now on."""
+        self._responses_at_ramp = self.answers_new
         self._share = RAMP_SHARE
         self._slack = 1.0
-        self._sent_before = self.sent
-        self._new_before = self.sent_new
+        self._sent_at_ramp = self.sent
+        self._sent_new_at_ramp = self.sent_new
 
-    def _end(self, state: State, reason: str) -> None:
+    def _finish(self, state: State, reason: str) -> None:
         self.state = state
         self.reason = reason
-        self._drain_answers = None
+        self._responses_at_drain = None
