--- a/ramptray/core/backend.py
+++ b/ramptray/core/backend.py
@@ -241,7 +241,7 @@
             return None
         rates: list[float] = []
         if self.info.warm_up_per_s and now < self.info.warm_at:
-            rates.append(_round_down(self.info.warm_up_per_s * part))
+            rates.append(_round_down_rate(self.info.warm_up_per_s * part))
         if self.limit_per_s is not None:
             rates.append(max(self.limit_per_s, MIN_LIMIT_PER_S) * part)
         return min(rates, default=None)
@@ -308,7 +308,7 @@
         request: message.RequestInfo,
         uncached: int,
         limit: int,
-        windowed: bool = True,
+        limits_prefill: bool = True,
     ) -> bool:
         """Returns whether the request fits beside what runs there.
 
@@ -316,7 +316,7 @@
             request: The request to place.
             uncached: Its prompt tokens that are not in the prefix cache.
             limit: How many requests may run there for this tier.
-            windowed: Whether the prompts that wait there are bounded.
+            limits_prefill: Whether the prompts that wait there are bounded.
         """
         if len(self.placed) + self.foreign >= limit:
             return False
@@ -327,7 +327,7 @@
         tokens = request.prompt_tokens + request.output_tokens
         if self.held_tokens + tokens > self.info.kv_tokens:
             return False
-        if not windowed or not self.pending:
+        if not limits_prefill or not self.pending:
             return True
         window = PREFILL_WINDOW_S * self.prefill_rate
         return self.prefill_tokens + uncached <= window
@@ -461,6 +461,6 @@
             self.prefill_tokens -= placed.uncached
 
 
-def _round_down(rate_per_s: float) -> float:
+def _round_down_rate(rate_per_s: float) -> float:
     """Returns the most whole requests in any second; less than one as it is."""
     return float(int(rate_per_s)) if rate_per_s >= 1.0 else rate_per_s
--- a/ramptray/core/candidate.py
+++ b/ramptray/core/candidate.py
@@ -1,7 +1,7 @@
 """Which backend servers are looked at for a request, at a flat cost.
 
 An owner may have hundreds of backend servers.  It looks at those that probably
-hold the request's prefix, and at a window over those with a free place that
+hold the request's prefix, and at a window over those with a free position that
 moves on with each look.
 """
 
@@ -12,65 +12,65 @@
 
 from ramptray.core import backend as backends
 
-WINDOW = 16
-"""Backend servers with a free place that one decision looks at."""
+WINDOW_SIZE = 16
+"""Backend servers with a free position that one decision looks at."""
 
-HOLDERS = 4
+MAX_HOLDERS = 4
 """Backend servers that are remembered for each prefix block."""
 
-REMEMBERED_BLOCKS = 50_000
+MAX_INDEXED_BLOCKS = 50_000
 """Prefix blocks that are remembered, least recently placed first out."""
 
 
 class FreeBackendPool:
-    """The backend servers with a free place, in no particular order."""
+    """The backend servers with a free position, in no particular order."""
 
     def __init__(self) -> None:
-        self._list: list[backends.Backend] = []
-        self._places: dict[str, int] = {}
+        self._backends: list[backends.Backend] = []
+        self._positions: dict[str, int] = {}
         self._cursor = 0
 
     def __len__(self) -> int:
-        return len(self._list)
+        return len(self._backends)
 
     def update(self, known: backends.Backend) -> None:
         """Takes a backend server in or out, as its places are now."""
         name = known.info.name
-        place = self._places.get(name)
+        position = self._positions.get(name)
         if known.has_free_slot:
-            if place is None:
-                self._places[name] = len(self._list)
-                self._list.append(known)
+            if position is None:
+                self._positions[name] = len(self._backends)
+                self._backends.append(known)
             else:
-                self._list[place] = known
-        elif place is not None:
-            self._remove(name, place)
+                self._backends[position] = known
+        elif position is not None:
+            self._remove(name, position)
 
     def discard(self, name: str) -> None:
         """Takes a backend server out."""
-        place = self._places.get(name)
-        if place is not None:
-            self._remove(name, place)
+        position = self._positions.get(name)
+        if position is not None:
+            self._remove(name, position)
 
     def next_window(self) -> list[backends.Backend]:
         """Returns the next few backend servers; all, if there are few."""
-        count = len(self._list)
-        if count <= WINDOW:
-            return list(self._list)
+        count = len(self._backends)
+        if count <= WINDOW_SIZE:
+            return list(self._backends)
         start = self._cursor % count
-        self._cursor = start + WINDOW
+        self._cursor = start + WINDOW_SIZE
         ring = itertools.chain(
-            self._list[start : start + WINDOW],
-            self._list[: max(0, start + WINDOW - count)],
+            self._backends[start : start + WINDOW_SIZE],
+            self._backends[: max(0, start + WINDOW_SIZE - count)],
         )
         return list(ring)
 
-    def _remove(self, name: str, place: int) -> None:
-        last = self._list.pop()
-        del self._places[name]
+    def _remove(self, name: str, position: int) -> None:
+        last = self._backends.pop()
+        del self._positions[name]
         if last.info.name != name:
-            self._list[place] = last
-            self._places[last.info.name] = place
+            self._backends[position] = last
+            self._positions[last.info.name] = position
 
 
 class PrefixHolderIndex:
@@ -85,9 +85,9 @@
         """Notes that a backend server computes these blocks."""
         for block in prefix:
             others = [n for n in self._holders.get(block, ()) if n != name]
-            self._holders[block] = (name, *others[: HOLDERS - 1])
+            self._holders[block] = (name, *others[: MAX_HOLDERS - 1])
             self._holders.move_to_end(block)
-        while len(self._holders) > REMEMBERED_BLOCKS:
+        while len(self._holders) > MAX_INDEXED_BLOCKS:
             self._holders.popitem(last=False)
 
     def find(self, prefix: tuple[int, ...]) -> tuple[str, ...]:
--- a/ramptray/core/eligibility.py
+++ b/ramptray/core/eligibility.py
@@ -7,7 +7,7 @@
 from ramptray.core import backend as backends
 from ramptray.core import message, queue
 
-TRIAL_S = 2.0
+MAX_TRIAL_S = 2.0
 """Time after the last pause in which trials may be under way, in seconds."""
 
 
@@ -51,24 +51,24 @@
         """Returns the candidates that a request may go to.
 
         A request that was sent everywhere within its entry's reach may go
-        anywhere there again, but never outside its regions.
+        anywhere there again, but unreachable outside its regions.
         """
         if not (request.avoid or request.silent or request.regions is not None):
             return candidates
-        never = set(request.silent) | self._list_barred(request)
-        left_out = never | set(request.avoid)
-        if not self._list_usable() - left_out:
-            left_out = never
-        return [c for c in candidates if c.info.name not in left_out]
+        unreachable = set(request.silent) | self._list_outside_regions(request)
+        excluded = unreachable | set(request.avoid)
+        if not self._list_usable() - excluded:
+            excluded = unreachable
+        return [c for c in candidates if c.info.name not in excluded]
 
     def has_no_reachable_backend(self, request: message.RequestInfo) -> bool:
         """Returns whether the request's entry can reach none of them."""
-        never = set(request.silent) | self._list_barred(request)
-        return bool(self._backends) and not set(self._backends) - never
+        unreachable = set(request.silent) | self._list_outside_regions(request)
+        return bool(self._backends) and not set(self._backends) - unreachable
 
     def has_pauses(self, now: float) -> bool:
         """Returns whether servers may want some entries to wait."""
-        return now < self._paused_until + TRIAL_S
+        return now < self._paused_until + MAX_TRIAL_S
 
     def is_paused(self, entry: str, now: float) -> bool:
         """Returns whether an entry may send to no server now."""
@@ -128,7 +128,7 @@
             name for name, known in self._backends.items() if not known.is_lost
         }
 
-    def _list_barred(self, request: message.RequestInfo) -> set[str]:
+    def _list_outside_regions(self, request: message.RequestInfo) -> set[str]:
         """Returns the backend servers outside the request's regions."""
         if request.regions is None:
             return set()
--- a/ramptray/core/policy.py
+++ b/ramptray/core/policy.py
@@ -19,20 +19,20 @@
 DECODE_WEIGHT_TOKENS = 16
 """Tokens of decode that count beside the first token in a placement."""
 
-REFUSED_S = 1.0
+REFUSAL_COST_S = 1.0
 """What a refusal by a backend server costs a request, in seconds: about what
 its caller loses that has to come back.
 
 Load pattern: some servers turn much of their work away while their places look
 free; without this they go on getting their part of it."""
 
-LATE_WEIGHT = 2.0
+LATENESS_WEIGHT = 2.0
 """How much worse a second past the deadline is than one of waiting."""
 
 FIRST_MARGIN = 1.2
 """Safety factor on the expected time to a first token."""
 
-WAY_S = 0.01
+TRANSIT_S = 0.01
 """Time from an entry to an engine and back to the caller, in seconds, which no
 engine's speed holds."""
 
@@ -67,7 +67,7 @@
         """Whether the answer may still begin in time."""
         return self.late_at < math.inf and not self.is_late
 
-    def is_met(self, first_s: float, wait_s: float = 0.0) -> bool:
+    def meets_objective(self, first_s: float, wait_s: float = 0.0) -> bool:
         """Returns whether a first token would be in time.
 
         Args:
@@ -75,7 +75,7 @@
             wait_s: Seconds until the request is placed.
         """
         placed_at = self.now + wait_s
-        return placed_at + first_s * FIRST_MARGIN + WAY_S <= self.late_at
+        return placed_at + first_s * FIRST_MARGIN + TRANSIT_S <= self.late_at
 
 
 class Policy(abc.ABC):
@@ -120,7 +120,7 @@
         costs = [
             (cost, candidate)
             for candidate in candidates
-            if (cost := self._find_cost(demand, candidate)) is not None
+            if (cost := self._compute_cost(demand, candidate)) is not None
         ]
         if not costs:
             return None
@@ -136,9 +136,11 @@
         alone_s = candidate.estimate_alone(uncached)
         wait_s = candidate.get_rate_wait(demand.now, demand.part)
         pause_s = candidate.pauses.get_remaining_s(demand.entry, demand.now)
-        return demand.is_met(alone_s, max(demand.wait_s + wait_s, pause_s))
+        return demand.meets_objective(
+            alone_s, max(demand.wait_s + wait_s, pause_s)
+        )
 
-    def _find_cost(
+    def _compute_cost(
         self, demand: Demand, candidate: backends.Backend
     ) -> float | None:
         """Returns the cost of a place in seconds; None where it has none."""
@@ -151,23 +153,23 @@
         if len(candidate.placed) + candidate.foreign >= limit:
             return None
         uncached = candidate.count_uncached(request)
-        windowed = not demand.has_objective
-        if not candidate.has_room(request, uncached, limit, windowed):
+        limits_prefill = not demand.has_objective
+        if not candidate.has_room(request, uncached, limit, limits_prefill):
             return None
         first_s = candidate.estimate_first_token(uncached, now)
         if demand.has_objective:
-            if not demand.is_met(first_s):
+            if not demand.meets_objective(first_s):
                 return None
-            if self._holds_up(request, candidate, uncached):
+            if self._exceeds_max_gap(request, candidate, uncached):
                 return None
         cost = first_s + candidate.step_s * DECODE_WEIGHT_TOKENS
-        cost += candidate.availability.get_refusal_rate(now) * REFUSED_S
+        cost += candidate.availability.get_refusal_rate(now) * REFUSAL_COST_S
         decode_s = candidate.step_s * request.output_tokens
         late_s = now + cost + decode_s - demand.deadline
-        return cost + max(0.0, late_s) * LATE_WEIGHT
+        return cost + max(0.0, late_s) * LATENESS_WEIGHT
 
     @staticmethod
-    def _holds_up(
+    def _exceeds_max_gap(
         request: message.RequestInfo,
         candidate: backends.Backend,
         uncached: int,
@@ -193,10 +195,10 @@
     ) -> backends.Backend | None:
         """See the base class."""
         usable = [
-            found
-            for found in candidates
-            if found.is_open(demand.now)
-            and found.get_rate_wait(demand.now, demand.part) == 0.0
+            backend
+            for backend in candidates
+            if backend.is_open(demand.now)
+            and backend.get_rate_wait(demand.now, demand.part) == 0.0
         ]
         return self.pick(usable) if usable else None
 
@@ -221,7 +223,7 @@
 
     def pick(self, usable: list[backends.Backend]) -> backends.Backend:
         """See the base class."""
-        return min(usable, key=lambda found: found.report_running or 0)
+        return min(usable, key=lambda backend: backend.report_running or 0)
 
 
 class LeastOutstandingPolicy(BaselinePolicy):
@@ -231,7 +233,7 @@
 
     def pick(self, usable: list[backends.Backend]) -> backends.Backend:
         """See the base class."""
-        return min(usable, key=lambda found: len(found.placed))
+        return min(usable, key=lambda backend: len(backend.placed))
 
 
 POLICIES: dict[str, Callable[[], Policy]] = {
--- a/ramptray/core/speed.py
+++ b/ramptray/core/speed.py
@@ -33,18 +33,18 @@
 """Weight of the newest first token in an engine's factor, on a log scale: noise
 of a third in single answers then moves the factor by a tenth."""
 
-SURPRISED_RATE = 0.7
+CONFIRMED_OUTLIER_RATE = 0.7
 """Weight of a first token that confirms the surprise of the one before it: an
 engine that has turned slow is known after two answers."""
 
-SURPRISE = 2.0
+OUTLIER_RATIO = 2.0
 """A first token this many times off what was expected is a surprise."""
 
-MAX_RATIO = 4.0
+MAX_OBSERVED_RATIO = 4.0
 """A first token is never counted as further off than this many times: it may
 have waited for something that is not the engine's speed."""
 
-FORGET = 0.98
+DECAY = 0.98
 """Weight of what the line knows when another answer is added: it rests on some
 fifty answers, a second or two of a busy shard."""
 
@@ -61,14 +61,14 @@
 STEP_TOKENS = 100.0
 """Tokens of an answer after which its pace counts for two thirds."""
 
-LEAST_SPREAD = 1e-9
+MIN_SPREAD = 1e-9
 """Prompt sizes that differ less than this, relative, tell of no slope."""
 
 MIN_SPAN_S = 1e-4
 """Shortest time that is taken for a measurement, in seconds."""
 
 
-LEAST_TOKEN_S = 1e-6
+MIN_TOKEN_S = 1e-6
 """Least time for a prompt token of the line, in seconds: twenty times less than
 a fast engine's.  It keeps noise from making the time 0."""
 
@@ -76,7 +76,7 @@
 """An engine counts as at most so many times slower or faster than the line.
 It keeps the line and the factors from drifting apart."""
 
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 """Least rate that is told, in prompt tokens a second: 0 cannot be taken."""
 
 
@@ -89,7 +89,7 @@
     squares: float = 0.0
     products: float = 0.0
 
-    def fade(self, part: float) -> None:
+    def decay(self, part: float) -> None:
         """Lets all that was added count for this part of it."""
         self.count *= part
         self.xs *= part
@@ -105,10 +105,10 @@
         self.squares += weight * x * x
         self.products += weight * x * y
 
-    def find_slope(self) -> float | None:
+    def compute_slope(self) -> float | None:
         """Returns the slope; None where all points have one place."""
         spread = self.squares * self.count - self.xs * self.xs
-        if spread <= LEAST_SPREAD * self.squares * self.count:
+        if spread <= MIN_SPREAD * self.squares * self.count:
             return None
         return (self.products * self.count - self.xs * self.ys) / spread
 
@@ -128,7 +128,7 @@
         self.step_s: float | None = None
         self._fit = _Fit()
         self._has_learned = False
-        self._assume(DEFAULT_FIXED_S, DEFAULT_TOKEN_S)
+        self._reset(DEFAULT_FIXED_S, DEFAULT_TOKEN_S)
 
     def estimate(self, tokens: float) -> float:
         """Returns the seconds to the first token of a prompt."""
@@ -138,18 +138,18 @@
         """Takes another owner's line, unless this one rests on answers."""
         if not self._has_learned:
             self._has_learned = True
-            self._assume(speed.fixed_s, 1 / speed.prefill_rate)
+            self._reset(speed.fixed_s, 1 / speed.prefill_rate)
 
     def learn(self, tokens: float, seconds: float) -> None:
         """Takes a first token's time, divided by its engine's factor."""
         self._has_learned = True
-        self._fit.fade(FORGET)
+        self._fit.decay(DECAY)
         self._add(tokens, seconds, 1.0)
-        slope = self._fit.find_slope()
+        slope = self._fit.compute_slope()
         if slope is None:
             return
         # Neither part can be negative; a line that says so is bent by noise.
-        self.token_s = max(slope, self.token_s / SURPRISE, LEAST_TOKEN_S)
+        self.token_s = max(slope, self.token_s / OUTLIER_RATIO, MIN_TOKEN_S)
         rest = self._fit.ys - self.token_s * self._fit.xs
         self.fixed_s = max(rest / self._fit.count, 0.0)
 
@@ -160,7 +160,7 @@
         else:
             self.step_s += weight * LEARNING_RATE * (seconds - self.step_s)
 
-    def _assume(self, fixed_s: float, token_s: float) -> None:
+    def _reset(self, fixed_s: float, token_s: float) -> None:
         self.fixed_s = fixed_s
         self.token_s = token_s
         self._fit = _Fit()
@@ -221,8 +221,10 @@
             self._set_factor(self.factor * ratio)
             self.is_learned = True
             return
-        ratio = min(max(ratio, 1 / MAX_RATIO), MAX_RATIO)
-        self._set_factor(self.factor * math.pow(ratio, self._weigh(ratio)))
+        ratio = min(max(ratio, 1 / MAX_OBSERVED_RATIO), MAX_OBSERVED_RATIO)
+        self._set_factor(
+            self.factor * math.pow(ratio, self._choose_learning_rate(ratio))
+        )
         self.line.learn(tokens, seconds / self.factor)
 
     def learn_step(self, tokens: int, seconds: float) -> None:
@@ -255,7 +257,7 @@
         if not self.is_learned:
             return None
         return message.Speed(
-            max(round(1 / self.token_s, 1), LEAST_RATE),
+            max(round(1 / self.token_s, 1), MIN_RATE),
             round(self.step_s, 6),
             round(self.fixed_s, 6),
         )
@@ -263,11 +265,15 @@
     def _set_factor(self, factor: float) -> None:
         self.factor = min(max(factor, 1 / MAX_FACTOR), MAX_FACTOR)
 
-    def _weigh(self, ratio: float) -> float:
+    def _choose_learning_rate(self, ratio: float) -> float:
         """Returns the weight of a first token that was so many times off."""
         direction = (
-            1 if ratio >= SURPRISE else -1 if ratio <= 1 / SURPRISE else 0
+            1
+            if ratio >= OUTLIER_RATIO
+            else -1
+            if ratio <= 1 / OUTLIER_RATIO
+            else 0
         )
         confirmed = direction != 0 and direction == self._surprised
         self._surprised = direction
-        return SURPRISED_RATE if confirmed else LEARNING_RATE
+        return CONFIRMED_OUTLIER_RATE if confirmed else LEARNING_RATE
--- a/test/limiting.py
+++ b/test/limiting.py
@@ -13,16 +13,16 @@
 RATES = (0.4, 1.0, 1.5, 3.0)
 """Limits that are named, in requests a second."""
 
-SPELL_S = (6.0, 12.0)
+LIMIT_PERIOD_S = (6.0, 12.0)
 """Least and most time for which a limit is named, in seconds."""
 
-PAUSE_S = (0.5, 3.0)
-"""Least and most time between two spells, in seconds."""
+GAP_S = (0.5, 3.0)
+"""Least and most time between two periods, in seconds."""
 
 KNOWN_AFTER_S = 3.0
 """Time from a limit's first naming until it must be kept, in seconds."""
 
-LINK_CALM_S = 0.5
+LINK_RECOVERY_S = 0.5
 """Time after a fault of a link in which late requests arrive, in seconds."""
 
 WINDOW_S = 4.0
@@ -53,7 +53,7 @@
 
 
 class Limiter:
-    """Has replicas name limits, one spell after the other.
+    """Has replicas name limits, one period after the other.
 
     Args:
         harmer: Sets what replicas do.
@@ -61,13 +61,13 @@
         names: The replicas.
 
     Attributes:
-        spells: What was named when.
+        periods: What was named when.
     """
 
     def __init__(
         self, harmer: harm.Harm, rng: random.Random, names: list[str]
     ) -> None:
-        self.spells: list[LimitPeriod] = []
+        self.periods: list[LimitPeriod] = []
         self._harm = harmer
         self._rng = rng
         self._names = names
@@ -76,18 +76,18 @@
         """Has limits named until the run is over."""
         while not is_over():
             named = self._rng.sample(self._names, self._rng.choice((1, 1, 2)))
-            spells = [
+            periods = [
                 LimitPeriod(name, self._rng.choice(RATES), time.monotonic())
                 for name in named
             ]
-            for spell in spells:
-                self._harm.name_limit(spell.name, spell.rate)
-            self.spells += spells
-            self._wait(self._rng.uniform(*SPELL_S), is_over)
-            for spell in spells:
-                ended_at = self._harm.end_limit(spell.name)
-                spell.until = min(ended_at, time.monotonic())
-            self._wait(self._rng.uniform(*PAUSE_S), is_over)
+            for period in periods:
+                self._harm.name_limit(period.name, period.rate)
+            self.periods += periods
+            self._wait(self._rng.uniform(*LIMIT_PERIOD_S), is_over)
+            for period in periods:
+                ended_at = self._harm.end_limit(period.name)
+                period.until = min(ended_at, time.monotonic())
+            self._wait(self._rng.uniform(*GAP_S), is_over)
 
     @staticmethod
     def _wait(seconds: float, is_over: Callable[[], bool]) -> None:
@@ -106,41 +106,43 @@
 
 
 def check_limits(
-    spells: list[LimitPeriod],
+    periods: list[LimitPeriod],
     record: verdict.Record,
     arrivals: Mapping[str, list[tuple[float, str]]],
 ) -> promise.Promise:
-    """Judges each window of each spell.
+    """Judges each window of each period.
 
     A VM does not count in a window near a fault of its own, and no VM where
-    the links to the replica were harmed.
+    the links to the replica were faulty.
     """
     kept = promise.Promise("a named limit is not exceeded by all VMs together")
     vms = {ask.name: ask.vm for ask in record.asks}
-    for spell in spells:
-        begin = spell.since + KNOWN_AFTER_S
-        for start, _ in arrivals[spell.name]:
+    for period in periods:
+        begin = period.since + KNOWN_AFTER_S
+        for start, _ in arrivals[period.name]:
             end = start + WINDOW_S
-            if start < begin or end > spell.until:
+            if start < begin or end > period.until:
                 continue
-            excused = _list_harmed(record, start, end)
-            if spell.name in excused:
+            excused = _list_faulty(record, start, end)
+            if period.name in excused:
                 continue
             count = sum(
                 start <= at < end and vms.get(request_id, "") not in excused
-                for at, request_id in arrivals[spell.name]
+                for at, request_id in arrivals[period.name]
             )
-            detail = f"{spell.name}: {count} requests at {spell.rate} a second"
-            kept.judge(count <= spell.allowed, detail)
+            detail = (
+                f"{period.name}: {count} requests at {period.rate} a second"
+            )
+            kept.judge(count <= period.allowed, detail)
     return kept
 
 
-def _list_harmed(record: verdict.Record, start: float, end: float) -> set[str]:
+def _list_faulty(record: verdict.Record, start: float, end: float) -> set[str]:
     """Returns the VMs and replicas that had a fault near a window."""
-    harmed = set()
+    faulty = set()
     for fault in record.faults:
         name = fault.name.split()[-1]
-        after_s = verdict.CALM_S if name.startswith("vm-") else LINK_CALM_S
+        after_s = verdict.CALM_S if name.startswith("vm-") else LINK_RECOVERY_S
         if fault.began < end and fault.ended + after_s > start:
-            harmed.add(name)
-    return harmed
+            faulty.add(name)
+    return faulty
--- a/test/soak.py
+++ b/test/soak.py
@@ -277,8 +277,8 @@
             name: limiting.read_arrivals(self._platform, name)
             for name in self._platform.replicas
         }
-        spells = self._limiter.spells
-        return [limiting.check_limits(spells, self.record, arrivals)]
+        periods = self._limiter.periods
+        return [limiting.check_limits(periods, self.record, arrivals)]
 
     def _judge_crashes(
         self, judge: verdict.Verdict, runs: Mapping[str, list[str]]
--- a/test/test_warm_up.py
+++ b/test/test_warm_up.py
@@ -12,14 +12,18 @@
 from ramptray.scheduler import rules
 from test import node, test_replicas
 
-RATE = 5.0
+COLD_RATE_PER_S = 5.0
 COLD_S = 3.0
 SERVERS = 2
 
 
 def make_owner(part: float = 1.0, cold_s: float = COLD_S) -> shard.ShardOwner:
     """Returns an owner of servers whose records say that they are cold."""
-    service = {"name": node.SERVICE, "coldPerS": RATE, "coldS": COLD_S}
+    service = {
+        "name": node.SERVICE,
+        "coldPerS": COLD_RATE_PER_S,
+        "coldS": COLD_S,
+    }
     declared = config.parse_config(
         json.dumps(node.make_config(1, services=[service]))
     )
@@ -80,14 +84,14 @@
     granted = count_grants(make_owner(part), COLD_S - 0.1)
     for start in granted:
         within = [at for at in granted if start <= at < start + 1.0]
-        assert len(within) <= max(1.0, RATE * part) * SERVERS
+        assert len(within) <= max(1.0, COLD_RATE_PER_S * part) * SERVERS
     assert len(granted) >= SERVERS
 
 
 def test_all_owners_together_keep_to_what_a_cold_server_bears() -> None:
     parts = (0.4, 0.4, 0.2)
     in_one_s = sum(len(count_grants(make_owner(part), 0.9)) for part in parts)
-    assert in_one_s <= RATE * SERVERS
+    assert in_one_s <= COLD_RATE_PER_S * SERVERS
 
 
 def test_a_server_that_has_warmed_up_gets_all_it_has_places_for() -> None:
