--- a/ramptray/core/availability.py
+++ b/ramptray/core/availability.py
@@ -1,37 +1,38 @@
-"""Whether a backend server is in reach and takes what it is sent."""
+"""Whether a backend server is reachable and accepts requests."""
 
 from __future__ import annotations
 
 import math
 
 UNREACHABLE_S = 0.5
-"""How long the first refused connection keeps new work away, in seconds."""
+"""Ejection time after the first refused connection, in seconds."""
 
 MAX_UNREACHABLE_S = 8.0
-"""How long a refused connection keeps new work away at most, in seconds."""
+"""Maximum ejection time after a refused connection, in seconds."""
 
 EJECT_AFTER_BREAKS = 3
-"""After so many answers in a row that broke off, new work stays away for a
-while: a backend server that fails at once always has room and would get all."""
+"""Consecutive broken responses after which a server is ejected for a while: a
+server that fails immediately always has free slots and would attract all
+requests."""
 
 REFUSAL_WEIGHT = 0.3
-"""Weight of the newest answer in the part of requests that a server refuses."""
+"""Weight of the newest response in a server's refusal rate."""
 
 REFUSAL_FORGET_S = 2.0
-"""Time in which two thirds of that part are forgotten, in seconds: a server
-that has recovered gets work again within the time of a few answers."""
+"""Time constant of the refusal rate's decay, in seconds: a server that has
+recovered gets requests again within the time of a few responses."""
 
 LOST_AFTER_FAILURES = 4
-"""Refused connections in a row after which the server counts as lost."""
+"""Consecutive refused connections after which a server counts as lost."""
 
 
 class Availability:
-    """Keeps new work away from a server that fails, longer each time.
+    """Ejects a failing server, with exponential backoff.
 
     Attributes:
-        failures: Refused connections in a row.
-        breaks: Answers in a row that broke off or were refusals.
-        unreachable_until: Until then it gets no new work.
+        failures: Consecutive refused connections.
+        breaks: Consecutive broken or refused responses.
+        unreachable_until: End of the ejection; no new requests before.
     """
 
     __slots__ = (
@@ -51,13 +52,13 @@
 
     @property
     def is_lost(self) -> bool:
-        """Whether no request should wait for the server."""
+        """Whether it counts as lost, so that no request waits for it."""
         return self.failures >= LOST_AFTER_FAILURES
 
     def note_unreachable(self, now: float) -> None:
-        """Keeps new work away after a refused connection, longer each time.
+        """Ejects the server after a refused connection, with backoff.
 
-        Requests refused at the same moment count as one failure.
+        Connections refused during an ejection do not count again.
         """
         if now < self.unreachable_until:
             return
@@ -73,15 +74,16 @@
         now: float,
         paused: bool = False,
     ) -> None:
-        """Takes how an answer ended.
+        """Records how a response ended.
 
         Args:
-            refused: The server turned the request away.
-            broken: The answer broke off, or the server hung.
-            whole: The answer came to its end.
+            refused: The server refused the request.
+            broken: The response broke off, or the server hung.
+            whole: The response was complete.
             now: The owner's clock in seconds.
-            paused: The server has asked the VM that it turned away for a
-                pause: that VM stays away anyway, and others may send.
+            paused: The server has asked the refused VM for a pause.  That VM
+                sends nothing meanwhile and others may send, so the refusal
+                does not count towards an ejection.
         """
         if refused or whole:
             self._note_refusal(refused, now)
@@ -93,7 +95,7 @@
             self.breaks = 0
 
     def get_refusal_rate(self, now: float) -> float:
-        """Returns the part of requests that it probably turns away now."""
+        """Returns the estimated fraction of requests that it refuses."""
         if not self._refused_part:
             return 0.0
         age_s = now - self._refused_at
--- a/ramptray/core/backend.py
+++ b/ramptray/core/backend.py
@@ -1,7 +1,7 @@
-"""A shard owner's view of one backend server: what runs there, and how fast.
+"""A shard owner's view of one backend server: its requests, speed and limits.
 
-Room is counted in tokens.  The view follows from the owner's own grants and the
-timing of answers; the engine's lagging load report only corrects it.
+Capacity is counted in tokens.  The view is built from the owner's own grants
+and response times; the engine's load reports lag behind and only correct it.
 """
 
 from __future__ import annotations
@@ -17,53 +17,54 @@
 from ramptray.core import speed as speeds
 
 PREFILL_WINDOW_S = 0.5
-"""How much prefill work, in seconds, may stand on one engine at a time for
-requests that have no objective to judge by."""
+"""Maximum prefill work queued on one engine, in seconds, for requests that have
+no latency objective."""
 
 CHUNK_TOKENS = 1024
-"""Prompt tokens that an engine reads between two tokens of other answers: the
-usual chunk of engines that mix prompts with decoding."""
+"""Prompt tokens that an engine prefills between two decode steps: the usual
+chunk size of engines with chunked prefill."""
 
 SLOWER_FACTOR = 1.5
-"""A reported time between tokens this much longer is taken at once."""
+"""A reported time between tokens that exceeds the learned one by this factor
+replaces it immediately."""
 
 OVERDUE_GRACE_S = 0.2
-"""Lateness below this, in seconds, is no sign of a slow engine."""
+"""Delay of a first token, in seconds, that does not count as a slow engine."""
 
 SAME_MOMENT_S = 0.05
-"""Requests that were granted closer than this, in seconds, may have arrived in
-another order: their entries stand in several availability zones."""
+"""Requests granted within this many seconds of each other may arrive in another
+order, because their entries run in different availability zones."""
 
 MAX_RTT_S = 2.0
-"""Longest timeout for a grant and its first token, in seconds."""
+"""Maximum timeout for a grant and its first token, in seconds."""
 
 MIN_LIMIT_PER_S = 0.25
-"""Least rate at which a server with a limit is sent requests, in requests a
-second: only its answers show that the limit has ended."""
+"""Minimum rate for a server with a limit, in requests per second: only its
+responses show that the limit has been lifted."""
 
 
 class BackendState(enum.Enum):
-    """Whether a backend server may get new work."""
+    """Whether a backend server accepts new requests."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
 
 
 class BackendInfo(msgspec.Struct, frozen=True):
-    """What the bundle says of a backend server.
+    """Facts on a backend server from the bundle.
 
     Attributes:
         name: The name in the bundle.
-        max_running: Requests the engine batches at a time.
-        kv_tokens: Tokens that fit the engine's KV memory.
-        cache_blocks: Prefix blocks the engine can keep.
-        url: Where it listens; empty where entries have it from the bundle.
-        run: Which of its runs this is, see ``message.Grant``.
-        warm_up_per_s: Requests a second that it bears until it is warm; 0 where
-            it needs no warming up.
-        warm_at: When it is warm, on the owner's clock.
-        release: The release of its software; empty where that is not known.
-        region: The region it stands in; empty where that is not known.
+        max_running: Requests that the engine can batch (its slots).
+        kv_tokens: Tokens that fit in the engine's KV cache.
+        cache_blocks: Prefix blocks that the engine can cache.
+        url: Address; empty if entries have it from the bundle.
+        run: Number of the server's current run, see ``message.Grant``.
+        warm_up_per_s: Requests per second that it accepts until it is warm; 0
+            if it needs no warm-up.
+        warm_at: Time at which it is warm, on the owner's clock.
+        release: Software release; empty if unknown.
+        region: Region of the server; empty if unknown.
     """
 
     name: str
@@ -78,12 +79,12 @@
     region: str = ""
 
     def equals_except_warm_at(self, other: BackendInfo) -> bool:
-        """Returns whether two differ at most in when the server is warm."""
+        """Returns whether the two are equal apart from ``warm_at``."""
         return self == msgspec.structs.replace(other, warm_at=self.warm_at)
 
 
 class PlacedRequest(msgspec.Struct):
-    """A request that occupies a place on a backend server."""
+    """A request that occupies a slot on a backend server."""
 
     request: message.RequestInfo
     entry: str
@@ -94,12 +95,12 @@
     orphaned_at: float | None = None
     asked_at: float = 0.0
     answers_since: float | None = None
-    # Time to its first token, relative to what the prompt takes of any engine.
+    # Time to its first token, relative to the shard's latency line.
     first_ratio: float | None = None
 
     @property
     def tokens(self) -> int:
-        """KV tokens the request will need at most."""
+        """Maximum number of KV tokens that the request needs."""
         return self.request.prompt_tokens + self.request.output_tokens
 
 
@@ -107,12 +108,12 @@
     """An owner's view of one backend server.
 
     Args:
-        info: What the bundle says of it.
-        report_due_at: Until then it gets no work before its first report,
-            which shows whether it is leaving.
-        line: What is known of the speed of all engines.
-        rtt: Round trip of grants and first tokens, with the time that
-            entries take.
+        info: Facts on it from the bundle.
+        report_due_at: Until then it gets no requests before its first load
+            report, which shows whether it is leaving.
+        line: Latency line shared by the engines of the shard.
+        rtt: Round-trip time from a grant to the notice of a first token, less
+            the engine's time; includes the entry's own delays.
     """
 
     __slots__ = (
@@ -170,20 +171,20 @@
 
     @property
     def is_lost(self) -> bool:
-        """Whether no request should wait for this backend server."""
+        """Whether it is leaving or lost, so that no request waits for it."""
         leaving = self.state is BackendState.LEAVING
         return leaving or self.availability.is_lost
 
     @property
     def has_free_slot(self) -> bool:
-        """Whether another request may run there, as far as places go."""
+        """Whether a slot is free for another request."""
         running = len(self.placed) + self.foreign
         active = self.state is BackendState.ACTIVE
         return active and running < self.info.max_running
 
     @property
     def prefill_rate(self) -> float:
-        """Prompt tokens a second."""
+        """Prefill rate, in prompt tokens per second."""
         return 1 / self.speed.token_s
 
     @property
@@ -192,24 +193,24 @@
         return self.speed.step_s
 
     def assume_speed_of(self, others: Iterable[Backend]) -> None:
-        """Assumes the usual speed of the others until its own is learned."""
+        """Assumes the median speed of the others until its own is learned."""
         known = [o.speed.factor for o in others if o.speed.is_learned]
         if known:
             self.speed.factor = statistics.median_low(known)
 
     def get_speed(self) -> message.Speed | None:
-        """Returns the learned speed, if there is one."""
+        """Returns the learned speed, or None."""
         return self.speed.to_message()
 
     def apply_speed(self, speed: message.Speed) -> None:
-        """Takes a speed that another owner has learned."""
+        """Applies a speed that another owner has learned."""
         self.speed.apply(speed)
 
     def choose_version(self, wanted: str) -> None:
-        """Chooses the model version that new work there asks for.
+        """Chooses the model version that new requests use.
 
-        Until the wanted one is loaded, another version of the same service
-        serves on; an engine with none gets no new work.
+        Until the wanted version is loaded, another loaded version of the same
+        service is used; an engine that has none gets no new requests.
         """
         service = wanted.partition("@")[0] + "@"
         others = [v for v in self.versions if v.startswith(service)]
@@ -221,21 +222,21 @@
             self.loaded = False
 
     def is_open(self, now: float) -> bool:
-        """Returns whether new work may go there at all."""
+        """Returns whether the server can get new requests now."""
         active = self.state is BackendState.ACTIVE and self.loaded
         return active and now >= max(
             self.availability.unreachable_until, self.report_due_at
         )
 
     def get_rate_limit(self, now: float, part: float) -> float | None:
-        """Returns the requests a second that this owner may send there.
+        """Returns the rate limit for this owner, in requests per second.
 
         Args:
             now: The owner's clock in seconds.
-            part: The part of each limit that this owner hands out.
+            part: This owner's share of each limit.
 
         Returns:
-            The rate; None where nothing limits it.
+            The rate; None if the server has no limit.
         """
         if self.limit_per_s is None and now >= self.info.warm_at:
             return None
@@ -251,7 +252,7 @@
 
         Args:
             now: The owner's clock in seconds.
-            part: The part of each limit that this owner hands out.
+            part: This owner's share of each limit.
         """
         rate_per_s = self.get_rate_limit(now, part)
         if rate_per_s is None:
@@ -259,33 +260,33 @@
         return self._pacer.get_wait(now, rate_per_s)
 
     def count_uncached(self, request: message.RequestInfo) -> int:
-        """Returns the prompt tokens that the engine would have to compute."""
+        """Returns the prompt tokens that are not in the prefix cache."""
         held = self.cache.count_tokens(request.prefix, request.prefix_tokens)
         return max(1, request.prompt_tokens - held)
 
     def estimate_first_token(self, uncached: int, now: float) -> float:
-        """Returns the seconds until a new request's first token."""
+        """Estimates the time to a new request's first token, in seconds."""
         begins_in_s = max(self.speed.fixed_s, self._estimate_backlog(now))
         first_s = begins_in_s + uncached * self.speed.token_s
         return first_s * self.get_slowdown(now)
 
     def estimate_alone(self, uncached: int) -> float:
-        """Returns the seconds to a first token where no other prompt waits."""
+        """Estimates the time to first token on an idle engine, in seconds."""
         return self.speed.fixed_s + self.speed.token_s * uncached
 
     def estimate_pause(self, uncached: int, event_tokens: int) -> float:
-        """Returns the longest pause that a new prompt causes in other answers.
+        """Estimates the longest gap that a new prompt causes in other streams.
 
         Args:
-            uncached: Tokens of the prompt that the engine has to compute.
-            event_tokens: Tokens that an event of the other answers holds.
+            uncached: Prompt tokens that are not in the prefix cache.
+            event_tokens: Tokens per event of the other streams.
         """
         prompts = self.prefill_tokens + uncached
         read = min(prompts, event_tokens * CHUNK_TOKENS)
         return event_tokens * self.step_s + read * self.speed.token_s
 
     def _estimate_backlog(self, now: float) -> float:
-        """Returns the seconds that the prompts before a new one still take."""
+        """Estimates the remaining prefill time of the pending prompts."""
         if not self.pending:
             return 0.0
         head = next(iter(self.pending.values()))
@@ -295,11 +296,11 @@
         return max(0.0, ends_at - now) + rest * self.speed.token_s
 
     def get_slowdown(self, now: float) -> float:
-        """Returns how many times slower than learned the engine now seems."""
+        """Returns the factor by which the oldest first token is overdue."""
         if not self.pending:
             return 1.0
         oldest = next(iter(self.pending.values()))
-        # Exclude the entry's own scheduling delay.
+        # Excludes the time that grants and notices take to and from entries.
         waited_s = now - oldest.started - self._rtt.timeout_s
         return max(1.0, waited_s / (oldest.expected_s + OVERDUE_GRACE_S))
 
@@ -310,20 +311,20 @@
         limit: int,
         limits_prefill: bool = True,
     ) -> bool:
-        """Returns whether the request fits beside what runs there.
+        """Returns whether the server has capacity for the request.
 
         Args:
             request: The request to place.
             uncached: Its prompt tokens that are not in the prefix cache.
-            limit: How many requests may run there for this tier.
-            limits_prefill: Whether the prompts that wait there are bounded.
+            limit: Slots that the tier of the request may use.
+            limits_prefill: Whether ``PREFILL_WINDOW_S`` applies.
         """
         if len(self.placed) + self.foreign >= limit:
             return False
         if not self.placed:
             return True
         if self.availability.failures:
-            return False  # One request at a time tries whether it is back.
+            return False  # One request at a time probes an unreachable server.
         tokens = request.prompt_tokens + request.output_tokens
         if self.held_tokens + tokens > self.info.kv_tokens:
             return False
@@ -339,7 +340,7 @@
         grant_id: str,
         now: float,
     ) -> PlacedRequest:
-        """Occupies a place for the request."""
+        """Occupies a slot for the request."""
         uncached = self.count_uncached(request)
         expected_s = self.estimate_first_token(uncached, now)
         self.prefill_tokens += uncached
@@ -360,11 +361,11 @@
         return placed
 
     def record_first_token(self, first: message.FirstToken, now: float) -> None:
-        """Learns the speed with prompts from a first token.
+        """Learns the prefill speed from a first token.
 
-        Prompts are read one after the other, so what a prompt takes by itself
-        begins where the one before it ended; the fixed part may pass before.
-        Prompts that were sent before have been read, even without a report.
+        Prompts are prefilled one after the other, so a prompt's own time starts
+        when the previous first token was sent; its fixed part may overlap with
+        that.  Earlier prompts count as prefilled even without a notice.
         """
         if running := self.placed.get(first.request_id):
             self.pauses.note_answer(running.entry, first.request_id, now)
@@ -389,9 +390,9 @@
         self.speed.learn_first(prefilled, took_s)
 
     def _estimate_prefilled(self, placed: PlacedRequest, took_s: float) -> int:
-        """Returns how much of a prompt was computed, by the time it took.
+        """Estimates from the time taken how many prompt tokens were computed.
 
-        What counts as cached may have been evicted since, or was never stored.
+        Blocks that count as cached may have been evicted or never stored.
         """
         whole = placed.request.prompt_tokens
         if placed.uncached >= whole:
@@ -403,7 +404,7 @@
         return whole
 
     def end(self, ended: message.Ended, now: float) -> None:
-        """Frees the request's place and learns the decode speed."""
+        """Frees the request's slot and learns the decode speed."""
         placed = self.remove(ended.request_id)
         pause_s = (
             self.pauses.get_remaining_s(placed.entry, now) if placed else 0.0
@@ -415,7 +416,7 @@
         self.speed.learn_step(decoded, ended.decode_s)
 
     def remove(self, request_id: str) -> PlacedRequest | None:
-        """Frees the request's place."""
+        """Frees the request's slot, if it has one."""
         placed = self.placed.pop(request_id, None)
         if placed is None:
             return None
@@ -425,15 +426,15 @@
         return placed
 
     def apply_load_report(self, running: int, step_s: float = 0.0) -> None:
-        """Takes a lagging load report.
+        """Applies an engine's load report, which lags behind.
 
-        Answers show the speed of decoding only when they end, which on an
-        engine that has just slowed down is late; so a reported time between
-        tokens that is much longer than the learned one is taken at once.
+        The decode speed is otherwise learned only at the end of a response,
+        which is late for an engine that has just slowed down.  A reported time
+        between tokens that is much longer is therefore applied immediately.
 
-        As to what runs there besides our own: a report is compared with the
-        one before it, since a single one may still count requests that have
-        ended here.  The first one is all that a new owner has.
+        Requests of other owners are counted from the smaller of the last two
+        reports, because a single report may still include requests that have
+        ended.  A new owner has only one report and uses that.
         """
         if step_s > SLOWER_FACTOR * self.step_s:
             self.speed.own_step_s = step_s
@@ -443,7 +444,7 @@
         self.foreign = max(0, steady - len(self.placed))
 
     def forget_prompt(self, request_id: str) -> None:
-        """Stops waiting for a first token whose entry has gone."""
+        """Stops waiting for the first token of a lost entry's request."""
         if placed := self.placed.get(request_id):
             self._finish_prefill(placed)
 
@@ -462,5 +463,5 @@
 
 
 def _round_down_rate(rate_per_s: float) -> float:
-    """Returns the most whole requests in any second; less than one as it is."""
+    """Rounds down to whole requests per second; rates below 1 are unchanged."""
     return float(int(rate_per_s)) if rate_per_s >= 1.0 else rate_per_s
--- a/ramptray/core/candidate.py
+++ b/ramptray/core/candidate.py
@@ -1,8 +1,8 @@
-"""Which backend servers are looked at for a request, at a flat cost.
+"""Candidate backend servers for a request, found at constant cost.
 
-An owner may have hundreds of backend servers.  It looks at those that probably
-hold the request's prefix, and at a window over those with a free position that
-moves on with each look.
+An owner may have hundreds of backend servers.  It considers only those that
+probably hold the request's prefix, and a window over those with a free slot,
+which advances with each decision.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from ramptray.core import backend as backends
 
 WINDOW_SIZE = 16
-"""Backend servers with a free position that one decision looks at."""
+"""Number of backend servers with a free slot that one decision considers."""
 
 MAX_HOLDERS = 4
-"""Backend servers that are remembered for each prefix block."""
+"""Maximum number of backend servers remembered per prefix block."""
 
 MAX_INDEXED_BLOCKS = 50_000
-"""Prefix blocks that are remembered, least recently placed first out."""
+"""Maximum number of prefix blocks in the index, evicted in LRU order."""
 
 
 class FreeBackendPool:
-    """The backend servers with a free position, in no particular order."""
+    """The backend servers with a free slot, in no particular order."""
 
     def __init__(self) -> None:
         self._backends: list[backends.Backend] = []
@@ -34,7 +34,7 @@
         return len(self._backends)
 
     def update(self, known: backends.Backend) -> None:
-        """Takes a backend server in or out, as its places are now."""
+        """Adds or removes a backend server, depending on its free slots."""
         name = known.info.name
         position = self._positions.get(name)
         if known.has_free_slot:
@@ -47,13 +47,13 @@
             self._remove(name, position)
 
     def discard(self, name: str) -> None:
-        """Takes a backend server out."""
+        """Removes a backend server, if present."""
         position = self._positions.get(name)
         if position is not None:
             self._remove(name, position)
 
     def next_window(self) -> list[backends.Backend]:
-        """Returns the next few backend servers; all, if there are few."""
+        """Returns the next ``WINDOW_SIZE`` backend servers, or all if fewer."""
         count = len(self._backends)
         if count <= WINDOW_SIZE:
             return list(self._backends)
@@ -74,7 +74,7 @@
 
 
 class PrefixHolderIndex:
-    """Remembers where requests with a prefix block went last."""
+    """Maps a prefix block to the servers that computed it most recently."""
 
     def __init__(self) -> None:
         self._holders: collections.OrderedDict[int, tuple[str, ...]] = (
@@ -82,7 +82,7 @@
         )
 
     def add(self, prefix: tuple[int, ...], name: str) -> None:
-        """Notes that a backend server computes these blocks."""
+        """Records that a backend server computes these blocks."""
         for block in prefix:
             others = [n for n in self._holders.get(block, ()) if n != name]
             self._holders[block] = (name, *others[: MAX_HOLDERS - 1])
@@ -91,11 +91,11 @@
             self._holders.popitem(last=False)
 
     def find(self, prefix: tuple[int, ...]) -> tuple[str, ...]:
-        """Returns the backend servers that share most of a prefix."""
+        """Returns the servers that hold the longest known part of a prefix."""
         known = self._holders
         if not prefix or prefix[0] not in known:
             return ()
-        # Blocks are chained: the deepest known one is found by halving.
+        # Blocks are chained, so the last known one is found by binary search.
         low, high = 0, len(prefix) - 1
         while low < high:
             middle = (low + high + 1) // 2
--- a/ramptray/core/eligibility.py
+++ b/ramptray/core/eligibility.py
@@ -1,4 +1,4 @@
-"""Which backend servers a waiting request may go to."""
+"""Filter for the backend servers that a queued request may go to."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from ramptray.core import message, queue
 
 MAX_TRIAL_S = 2.0
-"""Time after the last pause in which trials may be under way, in seconds."""
+"""Time after the last pause in which trials may be in progress, in seconds."""
 
 
 class Eligibility:
     """Filters a shard's backend servers for a request.
 
     Args:
-        known: The backend servers by their names, as they are at any time.
+        known: The backend servers by name; a live view.
     """
 
     def __init__(self, known: Mapping[str, backends.Backend]) -> None:
@@ -23,10 +23,10 @@
         self._paused_until = 0.0
 
     def note_pause(self, until: float) -> None:
-        """Notes a pause that an entry was asked for.
+        """Records a pause that a server requested from an entry.
 
         Args:
-            until: When it ends, on the owner's clock in seconds.
+            until: End of the pause, on the owner's clock in seconds.
         """
         self._paused_until = max(until, self._paused_until)
 
@@ -36,7 +36,7 @@
         waiting: queue.QueuedRequest,
         now: float,
     ) -> list[backends.Backend]:
-        """Returns the candidates that a request may be sent to now."""
+        """Returns the candidates to which a request may be sent now."""
         return [
             candidate
             for candidate in self.filter_reachable(candidates, waiting.request)
@@ -48,10 +48,10 @@
         candidates: list[backends.Backend],
         request: message.RequestInfo,
     ) -> list[backends.Backend]:
-        """Returns the candidates that a request may go to.
+        """Returns the candidates that its entry can reach in its regions.
 
-        A request that was sent everywhere within its entry's reach may go
-        anywhere there again, but unreachable outside its regions.
+        Servers that the request has tried are excluded, unless it has tried all
+        the reachable ones.
         """
         if not (request.avoid or request.silent or request.regions is not None):
             return candidates
@@ -62,12 +62,12 @@
         return [c for c in candidates if c.info.name not in excluded]
 
     def has_no_reachable_backend(self, request: message.RequestInfo) -> bool:
-        """Returns whether the request's entry can reach none of them."""
+        """Returns whether every server is unreachable for the request."""
         unreachable = set(request.silent) | self._list_outside_regions(request)
         return bool(self._backends) and not set(self._backends) - unreachable
 
     def has_pauses(self, now: float) -> bool:
-        """Returns whether servers may want some entries to wait."""
+        """Returns whether a pause or a trial may be in progress."""
         return now < self._paused_until + MAX_TRIAL_S
 
     def is_paused(self, entry: str, now: float) -> bool:
@@ -80,14 +80,14 @@
         )
 
     def get_pause(self, waiting: queue.QueuedRequest, now: float) -> float:
-        """Returns the seconds for which all servers want a request to wait.
+        """Returns the seconds until the first server ends a request's pause.
 
         Args:
             waiting: The request.
             now: The owner's clock in seconds.
 
         Returns:
-            The time until the first pause ends, 0 where there is none.
+            The time; 0 if some server has not asked its entry for a pause.
         """
         if now >= self._paused_until:
             return 0.0
@@ -105,10 +105,10 @@
         )
 
     def get_shortest_pause(self, entries: int, now: float) -> float:
-        """Returns the seconds until some entry may send to some server.
+        """Returns the seconds until any entry may send to any server.
 
         Args:
-            entries: How many entries ask for them.
+            entries: Number of entries that use the servers.
             now: The owner's clock in seconds.
         """
         if now >= self._paused_until:
@@ -123,7 +123,7 @@
         )
 
     def _list_usable(self) -> set[str]:
-        """Returns the backend servers that may get new work."""
+        """Returns the names of the servers that are not lost."""
         return {
             name for name, known in self._backends.items() if not known.is_lost
         }
--- a/ramptray/core/engine_orders.py
+++ b/ramptray/core/engine_orders.py
@@ -1,7 +1,8 @@
-"""Which orders bring engines to what the bundle declares.
+"""Orders that bring engines to the state declared in the bundle.
 
-Level-triggered: the bundle's wish is compared with what each engine says, and
-only the difference is ordered, so repeated or lost orders do no harm.
+Reconciliation is level-triggered: the desired state is compared with the
+reported one, and orders cover only the difference.  Lost or repeated orders are
+therefore harmless.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What an engine can be told to do."""
+    """Kinds of orders."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -23,9 +24,9 @@
     """An order to one engine.
 
     Attributes:
-        kind: What to do.
-        backend: The engine's backend server.
-        argument: The model version, or the role.
+        kind: Kind of the order.
+        backend: Backend server of the engine.
+        argument: Model version or role.
     """
 
     kind: OrderKind
@@ -34,11 +35,11 @@
 
 
 class DesiredState(msgspec.Struct, frozen=True):
-    """What the bundle declares for an engine.
+    """Desired state of an engine, as declared in the bundle.
 
     Attributes:
-        version: The model version to have loaded, as ``service@version``.
-        role: The role to have.
+        version: Model version to load, as ``service@version``.
+        role: Role of the engine.
     """
 
     version: str
@@ -46,13 +47,13 @@
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What an engine says of itself.
+    """State reported by an engine.
 
     Attributes:
-        versions: Model versions loaded.
+        versions: Loaded model versions.
         loading: Model versions being loaded.
-        role: Its role.
-        running: Requests running on each version.
+        role: Role of the engine.
+        running: Running requests by version.
     """
 
     versions: frozenset[str]
@@ -68,18 +69,18 @@
     unreported_loads: int,
     may_unload: bool,
 ) -> list[Order]:
-    """Returns the orders to give now.
+    """Returns the orders to send now.
 
-    A version is unloaded only where the wished one is loaded, nothing runs on
-    the old one, and nobody could still route to it.
+    A version is unloaded only if the desired one is loaded, no request runs on
+    the old one, and no node can still route requests to it.
 
     Args:
-        desired: What the bundle declares, by backend server.
-        states: What the engines say; one that says nothing gets no order.
-        loads_at_once: Loads that the weight store's budget allows.
+        desired: Desired states by backend server.
+        states: Reported states; an engine without one gets no orders.
+        loads_at_once: Concurrent loads that the weight store's budget allows.
         unreported_loads: Loads that may be running on engines without a
             report.
-        may_unload: Whether every node works by the bundle in force.
+        may_unload: Whether every node uses the bundle in force.
     """
     known = {name: states[name] for name in desired if name in states}
     loading = sum(len(state.loading) for state in known.values())
--- a/ramptray/core/fleet.py
+++ b/ramptray/core/fleet.py
@@ -1,4 +1,4 @@
-"""The backend servers of one shard, and which request has a place on which."""
+"""The backend servers of one shard and the requests placed on them."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from ramptray.core import speed as speeds
 
 ORPHAN_TIMEOUT_S = 30.0
-"""Longest time a lost entry's request keeps its place, in seconds."""
+"""Time after which the request of a lost entry loses its slot, in seconds."""
 
 MAX_FASTEST = 8
-"""How many of the fastest backend servers are checked for an objective."""
+"""Number of the fastest backend servers checked for a latency objective."""
 
 
 class Fleet:
     """Keeps a shard's view of its backend servers.
 
     Args:
-        report_due_at: Until then a backend server gets no work before its
-            first report.
-        learned: Speeds that earlier owners have learned.
+        report_due_at: Until then a backend server gets no requests before its
+            first load report.
+        learned: Speeds learned by earlier owners.
 
     Attributes:
-        backends: The backend servers by their names.
-        eligibility: Which of them a request may go to.
+        backends: The backend servers by name.
+        eligibility: Filters the servers that a request may go to.
     """
 
     def __init__(
@@ -50,25 +50,25 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no request has a place."""
+        """Whether no request occupies a slot."""
         return not self._backend_of
 
     @property
     def has_usable(self) -> bool:
-        """Whether there is a backend server worth waiting for."""
+        """Whether any backend server is neither leaving nor lost."""
         return any(not known.is_lost for known in self.backends.values())
 
-    # What is known of the backend servers.
+    # Configuration and state of the backend servers.
 
     def configure(
         self, infos: Iterable[backends.BackendInfo], version: str
     ) -> None:
-        """Takes the backend servers that may get new work.
+        """Sets the backend servers that may get new requests.
 
-        Those that are not named any more stay until their last request ends.
+        Servers that are no longer listed stay until their last request ends.
 
         Args:
-            infos: What the bundle says of each of them.
+            infos: Facts on each of them from the bundle.
             version: The model version to serve.
         """
         wanted = {info.name: info for info in infos}
@@ -90,11 +90,11 @@
                 del self.backends[name]
 
     def is_configured(self, name: str) -> bool:
-        """Returns whether the bundle lets a backend server get new work."""
+        """Returns whether the bundle lists a server for new requests."""
         return name in self._wanted
 
     def set_state(self, name: str, state: backends.BackendState) -> None:
-        """Notes that a backend server is leaving, or is back."""
+        """Sets a server's state; its own hint that it is leaving prevails."""
         if known := self.backends.get(name):
             hints = self._get_hints(known.info)
             if hints and hints.is_leaving:
@@ -110,13 +110,13 @@
         step_s: float,
         wanted: str,
     ) -> None:
-        """Takes an engine's lagging load report.
+        """Applies an engine's load report, which lags behind.
 
         Args:
             name: The backend server.
             running: Requests that run or wait there.
-            versions: The model versions that it has loaded.
-            step_s: Seconds between two tokens; 0 where that is not reported.
+            versions: Loaded model versions.
+            step_s: Seconds between two tokens; 0 if not reported.
             wanted: The model version to serve.
         """
         if known := self.backends.get(name):
@@ -127,12 +127,12 @@
             self._pool.update(known)
 
     def note_missing_report(self, name: str) -> None:
-        """Notes that a backend server gives no load report."""
+        """Lets a backend server get requests without a first load report."""
         if known := self.backends.get(name):
             known.report_due_at = 0.0
 
     def apply_speed(self, learned: message.SpeedLearned) -> None:
-        """Takes a speed that another owner has learned."""
+        """Applies a speed that another owner has learned."""
         self._speeds[learned.backend] = learned
         known = self.backends.get(learned.backend)
         if known and known.info.run == learned.run:
@@ -141,11 +141,11 @@
     def apply_hints(
         self, hints: message.ServerHints, entry: str, now: float
     ) -> None:
-        """Takes what a backend server says of itself in its answers.
+        """Applies the hints that a backend server sends with its responses.
 
         Args:
-            hints: What it says.
-            entry: The entry that got the answer, which the pause is for.
+            hints: The hints.
+            entry: The entry that got the response, to which a pause applies.
             now: The owner's clock in seconds.
         """
         hints = hints.follow(self._hints.get(hints.backend))
@@ -169,7 +169,7 @@
     def _get_hints(
         self, info: backends.BackendInfo
     ) -> message.ServerHints | None:
-        """Returns the hints of a backend server's present run."""
+        """Returns the hints of a backend server's current run."""
         hints = self._hints.get(info.name)
         return hints if hints and hints.run == info.run else None
 
@@ -180,13 +180,13 @@
         return list(self.backends.values())
 
     def next_window(self) -> list[backends.Backend]:
-        """Returns the next few backend servers with a free place."""
+        """Returns the next few backend servers with a free slot."""
         return self._pool.next_window()
 
     def add_holders(
         self, window: list[backends.Backend], request: message.RequestInfo
     ) -> list[backends.Backend]:
-        """Returns a window with those that may hold the request's prefix."""
+        """Adds the servers that may hold the request's prefix to a window."""
         if len(window) == len(self._pool):
             return window
         holders = (
@@ -195,7 +195,7 @@
         )
         return [*(h for h in holders if h is not None), *window]
 
-    # Places.
+    # Slots.
 
     def place(
         self,
@@ -206,15 +206,15 @@
         now: float,
         asked_at: float | None = None,
     ) -> None:
-        """Gives a request a place.
+        """Occupies a slot on a backend server for a request.
 
         Args:
             request: The request.
             chosen: The backend server.
-            entry: The entry that has its caller.
-            grant_id: The grant; empty where another owner gave it.
-            now: When it got the place.
-            asked_at: When it began to wait; None for at the same time.
+            entry: The entry that serves its caller.
+            grant_id: The grant; empty if another owner granted it.
+            now: Time of the placement.
+            asked_at: Time at which it was queued; None for ``now``.
         """
         placed = chosen.place(request, entry, grant_id, now)
         placed.asked_at = now if asked_at is None else asked_at
@@ -223,16 +223,16 @@
         self._backend_of[request.request_id] = chosen
 
     def find(self, request_id: str) -> backends.Backend | None:
-        """Returns the backend server on which a request has its place."""
+        """Returns the backend server on which a request is placed."""
         return self._backend_of.get(request_id)
 
     def get_placed(self, request_id: str) -> backends.PlacedRequest | None:
-        """Returns a request's place, if it has one."""
+        """Returns a placed request, or None."""
         backend = self._backend_of.get(request_id)
         return backend.placed.get(request_id) if backend else None
 
     def record_first_token(self, first: message.FirstToken, now: float) -> None:
-        """Learns from a first token, also for servers without a speed yet."""
+        """Learns from a first token, also for servers of unknown speed."""
         backend = self._backend_of[first.request_id]
         knew = backend.speed.is_learned
         backend.record_first_token(first, now)
@@ -241,13 +241,13 @@
                 self._assume_speed(other)
 
     def refresh(self, now: float, part: float) -> None:
-        """Finds the fastest backend servers; to be called at each tick.
+        """Updates the list of the fastest servers; called at each tick.
 
-        Those that a rate limit keeps requests from come last.
+        Rate-limited servers come last.
 
         Args:
             now: The owner's clock in seconds.
-            part: The part of each limit that this owner hands out.
+            part: This owner's share of each limit.
         """
         self._fastest = heapq.nsmallest(
             MAX_FASTEST,
@@ -259,14 +259,14 @@
         )
 
     def get_rate_limit(self, now: float, part: float) -> float | None:
-        """Returns the requests a second that may be sent to all of them.
+        """Returns the total rate limit of all servers, in requests per second.
 
         Args:
             now: The owner's clock in seconds.
-            part: The part of each limit that this owner hands out.
+            part: This owner's share of each limit.
 
         Returns:
-            The rate; None where some server has no limit, or none is usable.
+            The rate; None if some server has no limit, or none is usable.
         """
         rate_per_s = None
         for known in self.backends.values():
@@ -288,10 +288,10 @@
         )
 
     def end(self, ended: message.Ended, now: float) -> backends.Backend | None:
-        """Frees the place of a request that has ended.
+        """Frees the slot of a request that has ended.
 
         Returns:
-            The backend server that has got room, if any.
+            The backend server with the freed slot, if any.
         """
         backend = self._backend_of[ended.request_id]
         if not ended.certain:
@@ -303,7 +303,7 @@
         return backend
 
     def free(self, request_id: str) -> backends.PlacedRequest | None:
-        """Takes a request's place back, if it has one."""
+        """Frees a request's slot, if it has one."""
         backend = self._backend_of.pop(request_id, None)
         if backend is None:
             return None
@@ -311,10 +311,10 @@
         self._pool.update(backend)
         return placed
 
-    # Entries that come and go.
+    # Entries.
 
     def list_requests_of_entry(self, entry: str) -> set[str]:
-        """Returns the requests of an entry that have a place."""
+        """Returns the placed requests of an entry."""
         return {
             request_id
             for request_id, backend in self._backend_of.items()
@@ -322,7 +322,7 @@
         }
 
     def mark_orphaned(self, entry: str, now: float) -> None:
-        """Notes that an entry has gone; what runs keeps its place for now."""
+        """Marks a lost entry's requests as orphaned; they keep their slots."""
         for known in self.backends.values():
             known.pauses.forget(entry)
         for request_id in self.list_requests_of_entry(entry):
@@ -332,7 +332,7 @@
                 placed.orphaned_at = now
 
     def free_orphans(self, now: float) -> None:
-        """Takes back the places of requests whose entry is long gone."""
+        """Frees slots of requests orphaned for ``ORPHAN_TIMEOUT_S``."""
         for request_id, backend in list(self._backend_of.items()):
             orphaned_at = backend.placed[request_id].orphaned_at
             if orphaned_at is not None and now - orphaned_at > ORPHAN_TIMEOUT_S:
@@ -341,9 +341,9 @@
     def _replace_backend(
         self, info: backends.BackendInfo, former: backends.Backend | None
     ) -> None:
-        """Begins a backend server's view; what runs there keeps its place.
+        """Creates a new view of a backend server and moves its requests to it.
 
-        A later run holds and knows nothing of before: what ran has ended.
+        A new run starts empty: the requests of the former run have ended.
         """
         new = backends.Backend(info, self._report_due_at, self._line, self._rtt)
         learned = self._speeds.get(info.name)
--- a/ramptray/core/pauses.py
+++ b/ramptray/core/pauses.py
@@ -1,8 +1,8 @@
-"""Pauses that a backend server has asked of entries, and the return from them.
+"""Pauses that a backend server has requested from entries.
 
-Load pattern: a server turns requests away and asks each entry for a pause, and
-all that has waited meanwhile would reach it in the moment when the pause ends.
-So one request of the entry first tries whether the server takes work again.
+Load pattern: a server refuses requests and asks each entry for a pause.  All
+requests queued meanwhile would reach it the moment the pause ends, so the entry
+first sends a single trial request.
 """
 
 from __future__ import annotations
@@ -18,36 +18,36 @@
         self._trials: dict[str, str] = {}
 
     def take(self, entry: str, until: float) -> None:
-        """Takes a pause; the longest one in force holds.
+        """Adds a pause; overlapping pauses end with the latest.
 
         Args:
-            entry: The entry that got the answer.
-            until: When it ends, on the owner's clock in seconds.
+            entry: The entry that got the response.
+            until: End of the pause, on the owner's clock in seconds.
         """
         self._until[entry] = max(until, self._until.get(entry, until))
 
     def get_remaining_s(self, entry: str, now: float) -> float:
-        """Returns the seconds until an entry may send there, 0 for now."""
+        """Returns the seconds until the end of an entry's pause, or 0."""
         if not self._until:
             return 0.0
         return max(0.0, self._until.get(entry, now) - now)
 
     def allows(self, entry: str, now: float) -> bool:
-        """Returns whether an entry may send one more request there now."""
+        """Returns whether an entry may send another request now."""
         if not self._until or entry not in self._until:
             return True
         return self._until[entry] <= now and entry not in self._trials
 
     def note_sent(self, entry: str, request_id: str, sent_at: float) -> None:
-        """Notes a request; the first one after a pause is a trial."""
+        """Records a sent request; the first one after a pause is a trial."""
         until = self._until.get(entry)
         if until is not None and until <= sent_at:
             self._trials.setdefault(entry, request_id)
 
     def note_answer(self, entry: str, request_id: str, now: float) -> None:
-        """Notes that an answer has begun, which ends a trial well.
+        """Records the start of a response, with which a trial succeeds.
 
-        A pause that was asked for during the trial stays in force.
+        A pause requested during the trial stays in force.
         """
         if self._trials.get(entry) != request_id:
             return
@@ -56,20 +56,21 @@
             del self._until[entry]
 
     def note_end(self, entry: str, request_id: str) -> None:
-        """Notes that a request has ended, which ends its trial."""
+        """Records the end of a request, which also ends its trial."""
         if self._trials.get(entry) == request_id:
             del self._trials[entry]
 
     def forget(self, entry: str) -> None:
-        """Forgets the pause of an entry."""
+        """Removes the pause and the trial of an entry."""
         self._until.pop(entry, None)
         self._trials.pop(entry, None)
 
     def get_earliest_end(self, entries: int, now: float) -> float:
-        """Returns the seconds until some entry may send there, 0 for now.
+        """Returns the seconds until any entry may send to the server.
 
         Args:
-            entries: How many entries ask for this server.
+            entries: Number of entries that use the server; if some of them has
+                no pause, the result is 0.
             now: The owner's clock in seconds.
         """
         left = [until - now for until in self._until.values() if until > now]
--- a/ramptray/core/policy.py
+++ b/ramptray/core/policy.py
@@ -1,7 +1,7 @@
-"""How a shard owner chooses the backend server for a request.
+"""Placement policies: how a shard owner chooses a request's backend server.
 
-Every policy is a subclass of ``Policy``.  The baselines stand beside the one
-in use so that a benchmark can compare them in one run.
+Every policy is a subclass of ``Policy``.  ``TokenPolicy`` is the one in use;
+the baselines exist for comparison in benchmarks.
 """
 
 from __future__ import annotations
@@ -17,39 +17,40 @@
 from ramptray.core import message
 
 DECODE_WEIGHT_TOKENS = 16
-"""Tokens of decode that count beside the first token in a placement."""
+"""Decode steps that are added to the time to first token in a cost."""
 
 REFUSAL_COST_S = 1.0
-"""What a refusal by a backend server costs a request, in seconds: about what
-its caller loses that has to come back.
+"""Cost of a refusal by a backend server, in seconds: about the time that a
+caller loses by a retry.
 
-Load pattern: some servers turn much of their work away while their places look
-free; without this they go on getting their part of it."""
+Load pattern: some servers refuse many requests while their slots seem free, and
+would otherwise keep getting their share of the load."""
 
 LATENESS_WEIGHT = 2.0
-"""How much worse a second past the deadline is than one of waiting."""
+"""Cost of a second past the deadline, relative to a second of waiting."""
 
 FIRST_MARGIN = 1.2
 """Safety factor on the expected time to a first token."""
 
 TRANSIT_S = 0.01
-"""Time from an entry to an engine and back to the caller, in seconds, which no
-engine's speed holds."""
+"""Time from an entry to an engine and back to the caller, in seconds; not
+included in an engine's learned speed."""
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """What is to be placed.
+    """A request to place, with its limits and deadlines.
 
     Attributes:
         request: The request at the head of the queue.
-        share: The part of each engine's places that its tier may use.
+        share: Fraction of each engine's slots that its tier may use.
         now: The owner's clock in seconds.
-        deadline: When the answer is of no more use, on the same clock.
-        late_at: When the answer begins too late; infinite where never.
-        part: The part of limits held over all owners that is this owner's.
-        is_late: Whether it can begin in time nowhere any more.
+        deadline: Deadline of the response, on the same clock.
+        late_at: Time until which the response must begin to meet its
+            objective; infinite without an objective.
+        part: This owner's share of the limits that all owners share.
+        is_late: Whether no server can meet its objective any more.
         wait_s: Seconds that it has to wait before it may be placed.
-        entry: The entry that has its caller.
+        entry: The entry that serves its caller.
     """
 
     request: message.RequestInfo
@@ -64,26 +65,26 @@
 
     @property
     def has_objective(self) -> bool:
-        """Whether the answer may still begin in time."""
+        """Whether there is a latency objective that may still be met."""
         return self.late_at < math.inf and not self.is_late
 
     def meets_objective(self, first_s: float, wait_s: float = 0.0) -> bool:
-        """Returns whether a first token would be in time.
+        """Returns whether a first token would meet the objective.
 
         Args:
-            first_s: Seconds that it takes once the request is placed.
-            wait_s: Seconds until the request is placed.
+            first_s: Seconds from the placement to the first token.
+            wait_s: Seconds until the placement.
         """
         placed_at = self.now + wait_s
         return placed_at + first_s * FIRST_MARGIN + TRANSIT_S <= self.late_at
 
 
 class Policy(abc.ABC):
-    """Chooses a backend server, or none to keep the request waiting."""
+    """Chooses a backend server, or none to keep the request queued."""
 
     name: str
     needs_all_backends = False
-    """Whether it must be given every backend server of the shard."""
+    """Whether ``choose`` needs every backend server of the shard."""
 
     @abc.abstractmethod
     def choose(
@@ -92,23 +93,23 @@
         """Returns the backend server for a request, or None to wait.
 
         Args:
-            demand: What is to be placed.
+            demand: The request to place.
             candidates: Backend servers to choose from.
         """
 
     def can_meet_objective(
         self, demand: Demand, candidate: backends.Backend
     ) -> bool:
-        """Returns whether a request would be in time on an idle server."""
+        """Returns whether an idle server would meet the objective."""
         return True
 
 
 class TokenPolicy(Policy):
-    """Late binding: the earliest answer among the engines that are in time.
+    """Late binding: the lowest cost among engines that meet the objective.
 
-    Load pattern: nearly all places are taken, and those that are free belong to
-    slow engines.  A request waits for a place where its answer begins in time
-    and does not hold up those beside it, as long as there is such an engine.
+    Load pattern: nearly all slots are occupied, and the free ones belong to
+    slow engines.  As long as some engine can meet its objective, a request
+    waits for a slot where it does so without delaying other streams too long.
     """
 
     name = "token"
@@ -143,7 +144,7 @@
     def _compute_cost(
         self, demand: Demand, candidate: backends.Backend
     ) -> float | None:
-        """Returns the cost of a place in seconds; None where it has none."""
+        """Returns the cost of a placement in seconds; None if not possible."""
         request, now = demand.request, demand.now
         if not candidate.is_open(now):
             return None
@@ -174,7 +175,7 @@
         candidate: backends.Backend,
         uncached: int,
     ) -> bool:
-        """Returns whether a prompt makes other answers pause too long."""
+        """Returns whether a prompt would delay other streams too long."""
         if request.max_gap_s is None or not candidate.placed:
             return False
         pause_s = candidate.estimate_pause(uncached, request.event_tokens)
@@ -182,13 +183,13 @@
 
 
 class BaselinePolicy(Policy):
-    """Base of the baselines: they place at once, on any open engine."""
+    """Base class of baselines, which place immediately on any open engine."""
 
     needs_all_backends = True
 
     @abc.abstractmethod
     def pick(self, usable: list[backends.Backend]) -> backends.Backend:
-        """Returns one of the open backend servers; there is at least one."""
+        """Returns one of the open backend servers; the list is not empty."""
 
     def choose(
         self, demand: Demand, candidates: Sequence[backends.Backend]
@@ -217,7 +218,7 @@
 
 
 class LeastReportedPolicy(BaselinePolicy):
-    """Baseline: the smallest running count in the engines' stale reports."""
+    """Baseline: the fewest running requests in the engines' stale reports."""
 
     name = "least_reported"
 
@@ -227,7 +228,7 @@
 
 
 class LeastOutstandingPolicy(BaselinePolicy):
-    """Baseline: the fewest requests this owner has running there."""
+    """Baseline: the fewest requests of this owner on the server."""
 
     name = "least_outstanding"
 
--- a/ramptray/core/prefix.py
+++ b/ramptray/core/prefix.py
@@ -1,7 +1,7 @@
-"""Prefix hashes: how prompts that begin alike are recognised.
+"""Prefix hashes, by which prompts with a common prefix are recognised.
 
-An engine's cache works on blocks of the prompt.  Each block's hash covers all
-blocks before it, so two prompts share a hash only if they begin alike.
+An engine caches blocks of a prompt.  The hash of a block covers all the blocks
+before it, so two prompts share a hash only if they have a common prefix.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 import xxhash
 
 CHARS_PER_TOKEN = 4
-"""Characters that make a token, near enough for sizes."""
+"""Average number of characters per token, for estimates of size."""
 
 BLOCK_CHARS = 256
-"""Characters a block covers: 64 tokens."""
+"""Characters per block: 64 tokens."""
 
 MAX_BLOCKS = 512
-"""Blocks that are hashed at most; longer prompts share no more than these."""
+"""Maximum number of blocks hashed per prompt; later blocks are ignored."""
 
 
 def count_tokens(text: str) -> int:
--- a/ramptray/core/prefix_cache.py
+++ b/ramptray/core/prefix_cache.py
@@ -1,4 +1,4 @@
-"""What an engine's prefix cache probably holds."""
+"""Estimate of the contents of an engine's prefix cache."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class PrefixCache:
-    """What an engine's prefix cache probably holds, least recent first out.
+    """Model of an engine's prefix cache, with LRU eviction.
 
     Args:
-        tokens: Tokens that it can keep.
+        tokens: Capacity in tokens.
     """
 
     def __init__(self, tokens: int) -> None:
@@ -25,14 +25,14 @@
         )
 
     def add(self, prefix: tuple[int, ...], sizes: tuple[int, ...] = ()) -> None:
-        """Notes that the engine has computed these blocks.
+        """Records that the engine has computed these blocks.
 
         Args:
             prefix: The blocks.
-            sizes: Tokens of each; empty for the usual number.
+            sizes: Tokens per block; empty for ``BLOCK_TOKENS`` each.
         """
-        # The last block first, so that it also gives way first: those behind a
-        # block that is gone are of no use.
+        # The last block is added first and so evicted first: blocks after an
+        # evicted one cannot be used.
         for block, size in reversed(list(_pair(prefix, sizes))):
             self._held += size - self._blocks.get(block, 0)
             self._blocks[block] = size
@@ -41,26 +41,26 @@
             self._held -= self._blocks.popitem(last=False)[1]
 
     def evict(self, blocks: tuple[int, ...]) -> None:
-        """Notes that the engine has evicted these blocks."""
+        """Records that the engine has evicted these blocks."""
         for block in blocks:
             self._held -= self._blocks.pop(block, 0)
 
     def count_tokens(
         self, prefix: tuple[int, ...], sizes: tuple[int, ...] = ()
     ) -> int:
-        """Returns how many leading tokens of a prompt are held.
+        """Returns the number of leading prompt tokens in the cache.
 
         Args:
             prefix: The prompt's blocks.
-            sizes: Tokens of each; empty for the usual number.
+            sizes: Tokens per block; empty for ``BLOCK_TOKENS`` each.
         """
         count = self.count_blocks(prefix)
         return sum(sizes[:count]) if sizes else count * BLOCK_TOKENS
 
     def count_blocks(self, prefix: tuple[int, ...]) -> int:
-        """Returns how many leading blocks are held, by binary search.
+        """Returns the number of leading blocks in the cache, by binary search.
 
-        Blocks are chained, so a block is held only if the ones before it are.
+        Blocks are chained: a block is cached only if those before it are.
         """
         known = self._blocks
         if not prefix or prefix[0] not in known:
@@ -78,5 +78,5 @@
 def _pair(
     prefix: tuple[int, ...], sizes: tuple[int, ...]
 ) -> Iterable[tuple[int, int]]:
-    """Returns each block with the tokens that it covers."""
+    """Returns each block with its size in tokens."""
     return zip(prefix, sizes or itertools.repeat(BLOCK_TOKENS), strict=False)
--- a/ramptray/core/rtt.py
+++ b/ramptray/core/rtt.py
@@ -1,8 +1,8 @@
 """Adaptive timeouts from observed round trips.
 
-Load pattern: the VM that is asked is short of processor time and answers late.
-With a fixed timeout it would be taken for lost, and another VM would do its
-work again, which costs all of them more processor time still.
+Load pattern: a VM is short of CPU time and replies late.  A fixed timeout would
+declare it lost and another VM would repeat its work, which increases the CPU
+load of all VMs further.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 """Weight of a new sample in the smoothed deviation (RFC 6298)."""
 
 DEVIATIONS = 4.0
-"""Deviations between the smoothed round-trip time and the timeout."""
+"""Multiple of the deviation that is added to the smoothed time (RFC 6298)."""
 
 
 class RttEstimator:
     """Adaptive timeout from a smoothed round-trip time and its deviation.
 
     Args:
-        least_s: Shortest timeout, in seconds.
-        most_s: Longest timeout, in seconds.
+        least_s: Minimum timeout, in seconds.
+        most_s: Maximum timeout, in seconds.
     """
 
     __slots__ = ("_deviation_s", "_least_s", "_mean_s", "_most_s")
@@ -34,7 +34,7 @@
         self._deviation_s = 0.0
 
     def observe(self, rtt_s: float) -> None:
-        """Takes a round-trip time, in seconds."""
+        """Adds a round-trip time, in seconds."""
         error_s = rtt_s - self._mean_s
         self._mean_s += MEAN_WEIGHT * error_s
         self._deviation_s += DEVIATION_WEIGHT * (
--- a/ramptray/core/selector.py
+++ b/ramptray/core/selector.py
@@ -1,4 +1,4 @@
-"""Which backend server a waiting request gets."""
+"""Selection of the backend server for a queued request."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     Args:
         servers: The shard's backend servers.
         chosen: The policy.
-        limits: The part of each limit that this owner hands out.
+        limits: The limits, with this owner's share of them.
         releases: Which releases may get requests.
         is_suspect: Returns whether a content may have ended backend servers.
     """
@@ -43,7 +43,7 @@
         self._is_suspect = is_suspect
 
     def next_window(self) -> list[backends.Backend]:
-        """Returns the backend servers that the next decision looks at."""
+        """Returns the backend servers that the next decision considers."""
         if self._policy.needs_all_backends:
             return self._fleet.list_all()
         return self._fleet.next_window()
@@ -51,7 +51,7 @@
     def add_holders(
         self, window: list[backends.Backend], request: message.RequestInfo
     ) -> list[backends.Backend]:
-        """Returns a window with those that may hold the request's prefix."""
+        """Adds the servers that may hold the request's prefix to a window."""
         if self._policy.needs_all_backends:
             return window
         return self._fleet.add_holders(window, request)
@@ -64,15 +64,15 @@
         candidates: list[backends.Backend],
         ahead: Sequence[queue.QueuedRequest],
     ) -> backends.Backend | None:
-        """Returns the backend server for a request; None to keep it waiting.
+        """Returns the backend server for a request; None to keep it queued.
 
         Args:
             waiting: The request.
-            share: The part of each engine's places that its tier may use.
+            share: Fraction of each engine's slots that its tier may use.
             now: The owner's clock in seconds.
             candidates: Backend servers to choose from.
-            ahead: Waiting requests of higher tiers; the places that they may
-                take are not for this one.
+            ahead: Queued requests of higher tiers; servers that they may go to
+                are reserved for them.
         """
         usable = self._fleet.eligibility.filter_eligible(
             candidates, waiting, now
@@ -89,12 +89,12 @@
     def is_too_late(
         self, waiting: queue.QueuedRequest, now: float, wait_s: float = 0.0
     ) -> bool:
-        """Returns whether an answer can begin in time nowhere any more.
+        """Returns whether no server can meet the latency objective any more.
 
         Args:
             waiting: The request.
             now: The owner's clock in seconds.
-            wait_s: Seconds that the requests before it take at the rate limit.
+            wait_s: Seconds until its turn, given the rate limit.
         """
         if waiting.late_at == math.inf:
             return False
@@ -110,10 +110,10 @@
         ahead: Sequence[queue.QueuedRequest],
         now: float,
     ) -> list[backends.Backend]:
-        """Returns the candidates that no waiting request ahead may go to.
+        """Returns the candidates that no request ahead may go to.
 
-        Behind a cut, those are the backend servers on the other side; in a
-        pause of an entry, those that asked for it.
+        During a network partition, those are the servers on the other side;
+        during an entry's pause, the servers that requested it.
         """
         if not ahead or not candidates:
             return candidates
--- a/ramptray/core/speed.py
+++ b/ramptray/core/speed.py
@@ -1,14 +1,14 @@
-"""How fast a shard's engines are, learned from their answers.
+"""Speed of a shard's engines, learned from their responses.
 
 Load pattern: backend servers of one service differ severalfold in speed, and
-the slow ones always have places left.  A long request that goes there by
-mistake is late, or does not end before its deadline, and holds its place all
-the time.
-
-The time to a first token is a fixed part and a part for each prompt token.  All
-engines of a shard share that line (``Line``); each has a factor by which it is
-slower (``EngineSpeed``).  So a short prompt tells as much of a factor as a long
-one, and one answer is enough to place the next request.
+the slow ones always have free slots.  A long request that is placed there by
+mistake is late or misses its deadline, and occupies its slot meanwhile.
+
+The time to first token is modelled as a fixed time plus a time per prompt
+token.  All engines of a shard share this line (``LatencyLine``); each engine
+has a factor by which it is slower (``EngineSpeed``).  The factor can be learned
+from short prompts as well as from long ones, so a single response suffices to
+place the next request.
 """
 
 from __future__ import annotations
@@ -20,68 +20,68 @@
 from ramptray.core import message
 
 DEFAULT_FIXED_S = 0.03
-"""Fixed part of a first token's time before the first answer, in seconds."""
+"""Fixed part of the time to first token before any response, in seconds."""
 
 DEFAULT_TOKEN_S = 1 / 50_000
-"""Time for a prompt token before the first answer, in seconds: that of a fast
-engine, so that nothing is held back from one that is not known yet."""
+"""Time per prompt token before any response, in seconds: that of a fast engine,
+so that no request is withheld from an engine of unknown speed."""
 
 DEFAULT_STEP_S = 0.03
-"""Time between tokens assumed before the first answer, in seconds."""
+"""Time between tokens before any response, in seconds."""
 
 LEARNING_RATE = 0.3
-"""Weight of the newest first token in an engine's factor, on a log scale: noise
-of a third in single answers then moves the factor by a tenth."""
+"""Weight of a new first token in an engine's factor, on a log scale: noise of a
+third in single responses then changes the factor by a tenth."""
 
 CONFIRMED_OUTLIER_RATE = 0.7
-"""Weight of a first token that confirms the surprise of the one before it: an
-engine that has turned slow is known after two answers."""
+"""Weight of a first token that confirms the preceding outlier: an engine that
+has slowed down is recognised after two responses."""
 
 OUTLIER_RATIO = 2.0
-"""A first token this many times off what was expected is a surprise."""
+"""A first token that differs from the estimate by this factor is an outlier."""
 
 MAX_OBSERVED_RATIO = 4.0
-"""A first token is never counted as further off than this many times: it may
-have waited for something that is not the engine's speed."""
+"""Upper bound for the deviation of a first token, as a factor: it may have
+waited for something other than the engine."""
 
 DECAY = 0.98
-"""Weight of what the line knows when another answer is added: it rests on some
-fifty answers, a second or two of a busy shard."""
+"""Decay of the line's data for each new response: the line rests on about fifty
+responses, one or two seconds of a busy shard."""
 
 PRIOR_WEIGHT = 2.0
-"""Answers that the line's assumed shape counts as."""
+"""Weight of each of the line's two prior points, in responses."""
 
 PRIOR_TOKENS = 4000.0
-"""Prompt size at which the assumed shape is held, in tokens: a long one."""
+"""Prompt size of the line's second prior point, in tokens: a long prompt."""
 
 NOISE_TOKENS = 2000.0
-"""Prompt tokens whose time is about as long as what is random in a first token;
-the weight of an answer falls with its size beyond that."""
+"""Prompt tokens whose prefill takes about as long as a first token's noise; the
+weight of a response decreases for longer prompts."""
 
 STEP_TOKENS = 100.0
-"""Tokens of an answer after which its pace counts for two thirds."""
+"""Response length, in tokens, at which its decode speed has a weight of 2/3."""
 
 MIN_SPREAD = 1e-9
-"""Prompt sizes that differ less than this, relative, tell of no slope."""
+"""Minimum relative spread of prompt sizes for which a slope is computed."""
 
 MIN_SPAN_S = 1e-4
-"""Shortest time that is taken for a measurement, in seconds."""
-
+"""Minimum duration used as a measurement, in seconds."""
 
 MIN_TOKEN_S = 1e-6
-"""Least time for a prompt token of the line, in seconds: twenty times less than
-a fast engine's.  It keeps noise from making the time 0."""
+"""Minimum time per prompt token of the line, in seconds: a twentieth of a fast
+engine's.  It keeps noise from reducing the time to 0."""
 
 MAX_FACTOR = 100.0
-"""An engine counts as at most so many times slower or faster than the line.
-It keeps the line and the factors from drifting apart."""
+"""Maximum factor by which an engine is slower or faster than the line.  It
+keeps the line and the factors from drifting apart."""
 
 MIN_RATE = 0.1
-"""Least rate that is told, in prompt tokens a second: 0 cannot be taken."""
+"""Minimum rate in a ``message.Speed``, in prompt tokens per second: a receiver
+divides by it."""
 
 
 class _Fit(msgspec.Struct):
-    """Weighted sums from which a straight line is fitted by least squares."""
+    """Weighted sums for a least-squares fit of a straight line."""
 
     count: float = 0.0
     xs: float = 0.0
@@ -90,7 +90,7 @@
     products: float = 0.0
 
     def decay(self, part: float) -> None:
-        """Lets all that was added count for this part of it."""
+        """Multiplies the weight of all points by a factor."""
         self.count *= part
         self.xs *= part
         self.ys *= part
@@ -106,7 +106,7 @@
         self.products += weight * x * y
 
     def compute_slope(self) -> float | None:
-        """Returns the slope; None where all points have one place."""
+        """Returns the slope; None if the points have about the same x."""
         spread = self.squares * self.count - self.xs * self.xs
         if spread <= MIN_SPREAD * self.squares * self.count:
             return None
@@ -114,12 +114,12 @@
 
 
 class LatencyLine:
-    """Time to a first token by prompt size, for an engine with factor 1.
+    """Time to first token by prompt size, for an engine with factor 1.
 
     Attributes:
-        fixed_s: Its fixed part, in seconds.
-        token_s: Its part for each prompt token, in seconds.
-        step_s: Time between two tokens of an answer; None until learned.
+        fixed_s: Fixed part, in seconds.
+        token_s: Time per prompt token, in seconds.
+        step_s: Time between two tokens of a response; None until learned.
     """
 
     def __init__(self) -> None:
@@ -131,30 +131,30 @@
         self._reset(DEFAULT_FIXED_S, DEFAULT_TOKEN_S)
 
     def estimate(self, tokens: float) -> float:
-        """Returns the seconds to the first token of a prompt."""
+        """Estimates the time to a prompt's first token, in seconds."""
         return self.fixed_s + self.token_s * tokens
 
     def apply(self, speed: message.Speed) -> None:
-        """Takes another owner's line, unless this one rests on answers."""
+        """Applies another owner's speed, unless one is learned already."""
         if not self._has_learned:
             self._has_learned = True
             self._reset(speed.fixed_s, 1 / speed.prefill_rate)
 
     def learn(self, tokens: float, seconds: float) -> None:
-        """Takes a first token's time, divided by its engine's factor."""
+        """Adds a time to first token, divided by its engine's factor."""
         self._has_learned = True
         self._fit.decay(DECAY)
         self._add(tokens, seconds, 1.0)
         slope = self._fit.compute_slope()
         if slope is None:
             return
-        # Neither part can be negative; a line that says so is bent by noise.
+        # Noise can make either part negative.
         self.token_s = max(slope, self.token_s / OUTLIER_RATIO, MIN_TOKEN_S)
         rest = self._fit.ys - self.token_s * self._fit.xs
         self.fixed_s = max(rest / self._fit.count, 0.0)
 
     def learn_step(self, seconds: float, weight: float) -> None:
-        """Takes a time between tokens, divided by its engine's factor."""
+        """Adds a time between tokens, divided by its engine's factor."""
         if self.step_s is None:
             self.step_s = seconds
         else:
@@ -173,14 +173,14 @@
 
 
 class EngineSpeed(msgspec.Struct):
-    """What is known of one engine's speed.
+    """Speed of one engine.
 
     Attributes:
-        line: What all engines of the shard share.
-        factor: How many times slower than the line it is with prompts.
+        line: Latency line shared by all engines of the shard.
+        factor: How many times slower than the line the engine prefills.
         own_step_s: Its time between tokens; None until learned.
-        is_learned: Whether any answer of its own, or word of another owner,
-            stands behind the factor.
+        is_learned: Whether the factor is based on a response of the engine or
+            on the speed that another owner learned.
     """
 
     line: LatencyLine
@@ -191,17 +191,17 @@
 
     @property
     def fixed_s(self) -> float:
-        """Fixed part of the time to a first token, in seconds."""
+        """Fixed part of the time to first token, in seconds."""
         return self.factor * self.line.fixed_s
 
     @property
     def token_s(self) -> float:
-        """Time for each prompt token, in seconds."""
+        """Time per prompt token, in seconds."""
         return self.factor * self.line.token_s
 
     @property
     def step_s(self) -> float:
-        """Time between two tokens of an answer, in seconds."""
+        """Time between two tokens of a response, in seconds."""
         if self.own_step_s is not None:
             return self.own_step_s
         if self.line.step_s is not None:
@@ -209,11 +209,11 @@
         return DEFAULT_STEP_S
 
     def learn_first(self, tokens: float, seconds: float) -> None:
-        """Takes the time to a first token.
+        """Learns from a time to first token.
 
         Args:
             tokens: Prompt tokens that the engine had to compute.
-            seconds: Time from its beginning, without waiting for others.
+            seconds: Time without waiting for other prompts.
         """
         expected_s = self.factor * self.line.estimate(tokens)
         ratio = max(seconds, MIN_SPAN_S) / expected_s
@@ -228,10 +228,10 @@
         self.line.learn(tokens, seconds / self.factor)
 
     def learn_step(self, tokens: int, seconds: float) -> None:
-        """Takes an answer's pace.
+        """Learns from the decode speed of a response.
 
         Args:
-            tokens: Tokens that came after the first event.
+            tokens: Tokens after the first event.
             seconds: Time from the first event to the last.
         """
         if tokens <= 0:
@@ -245,7 +245,7 @@
             self.line.learn_step(step_s / self.factor, weight)
 
     def apply(self, speed: message.Speed) -> None:
-        """Takes what another owner has learned."""
+        """Applies a speed that another owner has learned."""
         self.line.apply(speed)
         expected_s = self.line.estimate(PRIOR_TOKENS)
         self._set_factor(speed.estimate(PRIOR_TOKENS) / expected_s)
@@ -253,7 +253,7 @@
         self.is_learned = True
 
     def to_message(self) -> message.Speed | None:
-        """Returns what is known, for other owners; None for nothing."""
+        """Returns the learned speed for other owners, or None."""
         if not self.is_learned:
             return None
         return message.Speed(
@@ -266,7 +266,7 @@
         self.factor = min(max(factor, 1 / MAX_FACTOR), MAX_FACTOR)
 
     def _choose_learning_rate(self, ratio: float) -> float:
-        """Returns the weight of a first token that was so many times off."""
+        """Returns the weight of a first token by its ratio to the estimate."""
         direction = (
             1
             if ratio >= OUTLIER_RATIO
