--- a/test/limiting.py
+++ b/test/limiting.py
@@ -1,4 +1,4 @@
-"""Replicas that name request limits during a soak, and whether they hold."""
+"""Request limits that replicas announce during a soak, and a check of them."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from test import harm, node, verdict
 
 RATES = (0.4, 1.0, 1.5, 3.0)
-"""Limits that are named, in requests a second."""
+"""Announced limits, in requests per second."""
 
 LIMIT_PERIOD_S = (6.0, 12.0)
-"""Least and most time for which a limit is named, in seconds."""
+"""Minimum and maximum duration of a limit, in seconds."""
 
 GAP_S = (0.5, 3.0)
-"""Least and most time between two periods, in seconds."""
+"""Minimum and maximum time between two limits, in seconds."""
 
 KNOWN_AFTER_S = 3.0
-"""Time from a limit's first naming until it must be kept, in seconds."""
+"""Time from a limit's announcement until it must be kept, in seconds."""
 
 LINK_RECOVERY_S = 0.5
-"""Time after a fault of a link in which late requests arrive, in seconds."""
+"""Time after a link fault in which delayed requests arrive, in seconds."""
 
 WINDOW_S = 4.0
 FACTOR = 1.5
@@ -32,13 +32,13 @@
 
 @dataclasses.dataclass
 class LimitPeriod:
-    """A time in which a replica named a limit.
+    """A period in which a replica announced a limit.
 
     Attributes:
-        name: The replica.
-        rate: Requests a second.
-        since: When it began.
-        until: When it ended.
+        name: Name of the replica.
+        rate: Requests per second.
+        since: Start of the period.
+        until: End of the period.
     """
 
     name: str
@@ -48,20 +48,20 @@
 
     @property
     def allowed(self) -> float:
-        """The most requests in any window."""
+        """Maximum number of requests in any window."""
         return self.rate * FACTOR * WINDOW_S + SLACK
 
 
 class Limiter:
-    """Has replicas name limits, one period after the other.
+    """Makes replicas announce limits, in successive periods.
 
     Args:
-        harmer: Sets what replicas do.
-        rng: Chooses.
-        names: The replicas.
+        harmer: Injects the limits.
+        rng: Random number generator.
+        names: Names of the replicas.
 
     Attributes:
-        periods: What was named when.
+        periods: The announced limits.
     """
 
     def __init__(
@@ -73,12 +73,12 @@
         self._names = names
 
     def run(self, is_over: Callable[[], bool]) -> None:
-        """Has limits named until the run is over."""
+        """Sets and ends limits until the run is over."""
         while not is_over():
-            named = self._rng.sample(self._names, self._rng.choice((1, 1, 2)))
+            limited = self._rng.sample(self._names, self._rng.choice((1, 1, 2)))
             periods = [
                 LimitPeriod(name, self._rng.choice(RATES), time.monotonic())
-                for name in named
+                for name in limited
             ]
             for period in periods:
                 self._harm.name_limit(period.name, period.rate)
@@ -97,7 +97,7 @@
 
 
 def read_arrivals(started: node.Platform, name: str) -> list[tuple[float, str]]:
-    """Returns when which request arrived at a replica, over all its runs."""
+    """Returns times and request IDs of a replica's arrivals, of all runs."""
     return sorted(
         (line["at"], line["request_id"])
         for line in started.read_log(name)
@@ -110,10 +110,10 @@
     record: verdict.Record,
     arrivals: Mapping[str, list[tuple[float, str]]],
 ) -> promise.Promise:
-    """Judges each window of each period.
+    """Checks each window of each period.
 
-    A VM does not count in a window near a fault of its own, and no VM where
-    the links to the replica were faulty.
+    The requests of a VM that had a fault near the window are not counted;
+    windows near a link fault of the replica are skipped.
     """
     kept = promise.Promise("a named limit is not exceeded by all VMs together")
     vms = {ask.name: ask.vm for ask in record.asks}
@@ -138,7 +138,7 @@
 
 
 def _list_faulty(record: verdict.Record, start: float, end: float) -> set[str]:
-    """Returns the VMs and replicas that had a fault near a window."""
+    """Returns the VMs and replicas with a fault near a window."""
     faulty = set()
     for fault in record.faults:
         name = fault.name.split()[-1]
--- a/test/test_orders.py
+++ b/test/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: what is planned, and a new version under load."""
+"""Orders to engines: planning, and a model version change under load."""
 
 from __future__ import annotations
 
@@ -72,22 +72,22 @@
     tiers=[("urgent", 20.0)],
     customers={"ola": ["urgent"]},
 )
-LONG_S = 40.0
+TIMEOUT_S = 40.0
 
 
 class Caller(threading.Thread):
-    """Sends one request after another and notes the statuses."""
+    """Sends requests one after the other and records their statuses."""
 
     def __init__(self, started: deployment.Deployment) -> None:
         super().__init__(daemon=True)
         self.statuses: list[int] = []
-        self.going = True
+        self.is_active = True
         self._url = started.entries[0].url + "/v1/completions"
 
     def run(self) -> None:
-        """Sends until told to stop."""
+        """Sends until ``is_active`` is cleared."""
         body = {"model": "assistant", "prompt": "x", "max_tokens": 6}
-        while self.going:
+        while self.is_active:
             status, _, _ = test_path.call(self._url, body, "key-ola")
             self.statuses.append(status)
 
@@ -101,20 +101,20 @@
 
 
 def wait_until(check: Any) -> None:
-    """Waits for something that is sure to come; fails if it takes long."""
-    ends = time.monotonic() + LONG_S
+    """Waits for a condition; fails after ``TIMEOUT_S``."""
+    deadline = time.monotonic() + TIMEOUT_S
     while not check():
-        assert time.monotonic() < ends, "did not come about in time"
+        assert time.monotonic() < deadline, "condition not met in time"
         time.sleep(0.05)
 
 
 def find_holder(started: deployment.Deployment) -> str:
-    """Returns the controller that ordered last, by the log."""
+    """Returns the latest holder of the lease, by the log."""
     records = started.get("platform", "/log/lease-waw-a?from=0")["records"]
     return str(records[-1]["body"]["holder"]).rpartition("/")[0]
 
 
-def test_a_new_version_moves_in_under_load_though_the_holder_dies() -> None:
+def test_a_version_change_under_load_survives_the_lease_holders_death() -> None:
     with deployment.run_deployment(PLAN) as started:
         caller = Caller(started)
         caller.start()
@@ -136,7 +136,7 @@
                 for name in ("e1", "e2")
             )
         )
-        caller.going = False
+        caller.is_active = False
         caller.join()
         orders = read_orders(started)
     assert set(caller.statuses) == {200}
--- a/test/test_prefix_placement.py
+++ b/test/test_prefix_placement.py
@@ -1,4 +1,4 @@
-"""Requests go where the beginning of their prompt has been read, if in time."""
+"""Placement on servers that have a prompt's prefix cached, if in time."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def serve(owner: shard.ShardOwner, asked: message.Enqueue, now: float) -> str:
-    """Lets a request run to its end at once; returns where it went."""
+    """Runs a request to its end and returns the chosen server."""
     name = send(owner, asked, now)
     request_id = asked.request.request_id
     known = owner.fleet.backends[name].placed[request_id]
@@ -76,7 +76,7 @@
     return granted.backend
 
 
-def test_prompts_that_begin_alike_are_read_by_one_server() -> None:
+def test_prompts_with_a_common_prefix_go_to_one_server() -> None:
     owner = make_owner()
     for shared in range(1, 4):
         where = {
@@ -86,7 +86,7 @@
         assert len(where) == 1
 
 
-def test_a_server_that_has_read_it_gets_no_more_than_it_can_serve() -> None:
+def test_a_server_with_a_cached_prefix_is_not_overloaded() -> None:
     owner = make_owner()
     first = serve(owner, make_request("first"), 0.0)
     where = [send(owner, make_request(f"r{n}"), 1.0) for n in range(8)]
@@ -95,7 +95,7 @@
     assert where.count(first) <= 4
 
 
-def test_what_has_given_way_is_counted_as_to_be_read_again() -> None:
+def test_an_evicted_prefix_counts_as_uncached() -> None:
     owner = make_owner(1, cache_blocks=SHARED // prefix_cache.BLOCK_TOKENS + 20)
     serve(owner, make_request("a", 1), 0.0)
     serve(owner, make_request("b", 2), 1.0)
@@ -104,7 +104,7 @@
     assert uncached == SHARED + OWN
 
 
-def test_a_prompt_that_takes_as_long_as_the_whole_was_not_cached() -> None:
+def test_a_prompt_that_takes_as_long_as_uncached_was_not_cached() -> None:
     owner = make_owner(1)
     serve(owner, make_request("a"), 0.0)
     known = owner.fleet.backends["e0"]
@@ -124,7 +124,7 @@
         max_size=30,
     )
 )
-def test_the_tokens_that_are_held_are_the_sum_of_the_blocks(
+def test_the_cached_tokens_are_the_sum_of_the_block_sizes(
     steps: list[tuple[list[int], bool]],
 ) -> None:
     cache = prefix_cache.PrefixCache(1000)
@@ -153,7 +153,7 @@
     return asked
 
 
-def test_parts_of_a_prompt_are_told_apart_by_what_stands_before_them() -> None:
+def test_equal_parts_after_different_parts_have_different_hashes() -> None:
     one = read_prefix(b"5c1e07a2:800,91bd3f06:410")
     other = read_prefix(b"e4402b7d:250,91bd3f06:410")
     assert one.prefix_tokens == (800, 410)
@@ -161,13 +161,13 @@
     assert one.prefix != read_prefix(b"5c1e07a2:800,91bd3f06:410", b"n").prefix
 
 
-def test_parts_behind_one_that_makes_no_sense_are_left_out() -> None:
+def test_parts_after_an_invalid_one_are_ignored() -> None:
     asked = read_prefix(b"a:10,b:,c:30")
     assert asked.prefix_tokens == (10,)
     assert len(read_prefix(b",".join([b"a:1"] * 99)).prefix) == header.MAX_PARTS
 
 
-def test_a_request_keeps_its_sizes_on_the_wire_between_processes() -> None:
+def test_a_request_keeps_its_prefix_sizes_when_encoded() -> None:
     sent = make_request("a")
     decoded = msgspec.msgpack.decode(
         msgspec.msgpack.encode(sent), type=message.Enqueue
--- a/test/test_server_limit.py
+++ b/test/test_server_limit.py
@@ -1,4 +1,4 @@
-"""A request limit that a backend server names holds over all VMs together."""
+"""A request limit announced by a backend server holds for all VMs together."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 ALLOWED = 1.5 * RATE * WINDOW_S + 5
 
 KNOWN_AFTER_S = 1.5
-"""Time after which every VM must apply a limit, in seconds."""
+"""Time within which every VM must apply a limit, in seconds."""
 
 WORK_S, SLOW_WORK_S = 0.01, 0.05
-"""Work of the server with a limit and of the slower other one, in seconds: the
-faster one is preferred wherever its limit allows."""
+"""Processing times of the limited server and of the slower other one, in
+seconds: the faster one is preferred wherever its limit allows."""
 
 LOAD_S = 10.0
 
@@ -31,8 +31,8 @@
         yield platform
 
 
-def count_most(times: list[float], window_s: float) -> int:
-    """Returns the most arrivals in any window of that length."""
+def count_peak(times: list[float], window_s: float) -> int:
+    """Returns the maximum number of arrivals in any window of that length."""
     return max(
         (
             sum(start <= at < start + window_s for at in times)
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("path", ["/safe/", "/once/", "/stream/"])
-def test_a_named_limit_is_not_exceeded_by_all_vms_together(
+def test_an_announced_limit_is_not_exceeded_by_all_vms_together(
     started: node.Platform, path: str
 ) -> None:
     with callers.Callers(started, path) as load:
@@ -60,5 +60,5 @@
         known_at = time.monotonic() + KNOWN_AFTER_S
         time.sleep(LOAD_S)
     arrivals = list_arrivals(started, LIMITED, known_at)
-    assert 2 <= count_most(arrivals, WINDOW_S) <= ALLOWED
+    assert 2 <= count_peak(arrivals, WINDOW_S) <= ALLOWED
     assert load.statuses == {200}
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -1,4 +1,4 @@
-"""What an owner learns of a backend server's speed, and who else hears it."""
+"""Learning of backend server speeds and their exchange between owners."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     return granted
 
 
-def test_the_first_answer_replaces_what_was_assumed() -> None:
+def test_the_first_response_replaces_the_assumed_speed() -> None:
     owner = make_owner(1)
     ask(owner, "a")
     first = message.FirstToken("a", 0.1, 4000, 0)
@@ -57,17 +57,19 @@
     assert known.step_s == pytest.approx(0.005)
 
 
-def test_those_not_heard_of_are_assumed_as_fast_as_the_fastest() -> None:
+def test_servers_of_unknown_speed_are_assumed_as_fast_as_the_known_one() -> (
+    None
+):
     owner = make_owner(2)
     ask(owner, "a")
     owner.receive("entry", message.FirstToken("a", 0.1, 4000, 0), 1.1)
     rates = {known.prefill_rate for known in owner.fleet.backends.values()}
     assert len(rates) == 1
-    # One that never gets work could never show its speed.
+    # A server that gets no requests could never show its speed.
     assert ask(owner, "b").backend != ask(owner, "c").backend
 
 
-def test_a_new_owner_starts_with_what_the_last_one_learned() -> None:
+def test_a_new_owner_starts_with_the_speed_its_predecessor_learned() -> None:
     former = make_owner(1)
     assert ask(former, "a").speed is None
     former.receive("entry", message.FirstToken("a", 0.1, 4000, 0), 1.1)
@@ -77,7 +79,7 @@
     assert successor.fleet.backends["b0"].get_speed() == learned
 
 
-def test_an_owner_takes_what_another_one_has_learned() -> None:
+def test_an_owner_applies_a_speed_learned_by_another_owner() -> None:
     owner = make_owner(1)
     speed = message.Speed(40_000.0, 0.006)
     owner.receive("entry", message.SpeedLearned("b0", speed), 1.0)
@@ -87,7 +89,7 @@
 def decline(
     owner: shard.ShardOwner, granted: message.Grant, now: float, *silent: str
 ) -> list[owner_effect.SendToEntry]:
-    """Tells an owner that its grant led to a silent backend server."""
+    """Declines a grant because its backend server did not reply."""
     told = message.Decline(
         granted.request_id, granted.grant_id, False, (), silent
     )
@@ -95,8 +97,8 @@
 
 
 def test_a_request_is_not_granted_what_its_entry_cannot_reach() -> None:
-    # hanbit-qlog, inc-b14f: in a cut zone a request went to and fro between
-    # two backend servers beyond the cut until its caller gave up.
+    # hanbit-qlog, inc-b14f: in a partitioned zone a request alternated between
+    # two unreachable backend servers until its caller gave up.
     owner = make_owner(2)
     (again,) = decline(owner, ask(owner, "a"), 1.1, "b0")
     granted = again.message
@@ -123,10 +125,10 @@
 
 
 def test_long_prompts_that_seem_quicker_than_short_ones_end_nothing() -> None:
-    # On a day on which connections fell silent again and again three owners
-    # ended with "ZeroDivisionError: float division by zero" where they tell a
-    # speed.  Each answer that makes long prompts seem quicker than short ones
-    # halves the time for a prompt token; here it is 0 after 1,043 answers.
+    # Each response that makes long prompts seem faster than short ones halves
+    # the time per prompt token.  Without a minimum it reached 0 after 1,043
+    # responses, and to_message failed with "ZeroDivisionError: float division
+    # by zero"; three owners crashed so when connections stalled repeatedly.
     learned = speed.EngineSpeed(speed.LatencyLine())
     for number in range(20_000):
         if number % 2:
@@ -136,11 +138,11 @@
         told = learned.to_message()
     assert told is not None
     assert told.prefill_rate > 0
-    # Both parts stay near what was seen instead of drifting apart.
+    # The line and the factor stay near the measured times.
     assert 0.04 < told.fixed_s + 100 / told.prefill_rate < 0.4
 
 
-def test_a_speed_that_is_told_can_always_be_taken() -> None:
+def test_every_sent_speed_can_be_applied() -> None:
     learned = speed.EngineSpeed(speed.LatencyLine())
     for _ in range(50):
         learned.learn_first(1, 60.0)
@@ -153,8 +155,8 @@
 
 
 def test_busy_entries_do_not_make_engines_look_slow() -> None:
-    # Each grant and each word of a first token is 0.2 s underway; the engines
-    # are as fast as ever and nearly idle.
+    # Each grant and each first-token notice takes 0.2 s, while the engines are
+    # as fast as before and nearly idle.
     owner = make_owner(4)
     now = 0.0
     for number in range(40):
--- a/test/test_warm_up.py
+++ b/test/test_warm_up.py
@@ -1,4 +1,4 @@
-"""Backend servers that come back cold bear little until they are warm."""
+"""Rate limits for backend servers that restart cold, until they are warm."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def make_owner(part: float = 1.0, cold_s: float = COLD_S) -> shard.ShardOwner:
-    """Returns an owner of servers whose records say that they are cold."""
+    """Returns an owner of servers with a cold start in their records."""
     service = {
         "name": node.SERVICE,
         "coldPerS": COLD_RATE_PER_S,
@@ -61,8 +61,8 @@
     )
 
 
-def count_grants(owner: shard.ShardOwner, until_s: float) -> list[float]:
-    """Plays 50 requests at once; returns when each was granted."""
+def list_grant_times(owner: shard.ShardOwner, until_s: float) -> list[float]:
+    """Sends 50 requests at once and returns the times of their grants."""
     out = [
         effect
         for number in range(50)
@@ -80,26 +80,28 @@
 
 
 @pytest.mark.parametrize("part", [1.0, 0.5, 0.1])
-def test_cold_servers_get_no_more_than_they_bear(part: float) -> None:
-    granted = count_grants(make_owner(part), COLD_S - 0.1)
+def test_cold_servers_get_requests_within_their_rate_limit(part: float) -> None:
+    granted = list_grant_times(make_owner(part), COLD_S - 0.1)
     for start in granted:
         within = [at for at in granted if start <= at < start + 1.0]
         assert len(within) <= max(1.0, COLD_RATE_PER_S * part) * SERVERS
     assert len(granted) >= SERVERS
 
 
-def test_all_owners_together_keep_to_what_a_cold_server_bears() -> None:
+def test_all_owners_together_keep_a_cold_servers_rate_limit() -> None:
     parts = (0.4, 0.4, 0.2)
-    in_one_s = sum(len(count_grants(make_owner(part), 0.9)) for part in parts)
+    in_one_s = sum(
+        len(list_grant_times(make_owner(part), 0.9)) for part in parts
+    )
     assert in_one_s <= COLD_RATE_PER_S * SERVERS
 
 
-def test_a_server_that_has_warmed_up_gets_all_it_has_places_for() -> None:
-    granted = count_grants(make_owner(), COLD_S)
+def test_a_warm_server_gets_requests_for_all_its_slots() -> None:
+    granted = list_grant_times(make_owner(), COLD_S)
     assert len(granted) == 50
 
 
-def test_the_same_word_read_again_does_not_make_a_server_cold_again() -> None:
+def test_a_record_that_is_read_again_does_not_restart_the_warm_up() -> None:
     book = replicas.ReplicaBook(1.6)
     change = store.Change("i", test_replicas.make_record(coldMs=3000), 7)
     book.take_changes([change], 0.0)
@@ -107,7 +109,7 @@
     assert book.list_replicas()["i"].warm_at == COLD_S
 
 
-def test_a_server_that_turns_cold_again_keeps_what_was_learned_of_it() -> None:
+def test_a_server_that_turns_cold_again_keeps_its_learned_state() -> None:
     owner = make_owner(cold_s=0.0)
     known = owner.fleet.backends["i0"]
     infos = [
@@ -119,7 +121,7 @@
     assert known.info.warm_at == 9.0
 
 
-def test_a_small_part_is_one_request_in_several_windows() -> None:
+def test_a_small_share_allows_one_request_in_several_windows() -> None:
     paced = pacer.Pacer()
     paced.record_send(0.0)
     assert paced.get_wait(2.4, 2.0 * 0.2) > 0.0
@@ -127,14 +129,12 @@
     assert paced.get_wait(2.6, 2.0 * 0.0) > 0.0
 
 
-def test_owners_that_follow_one_another_send_no_burst_to_a_cold_server() -> (
-    None
-):
-    # Each new owner knows nothing of what its predecessor sent.
+def test_successive_owners_send_no_burst_to_a_cold_server() -> None:
+    # A new owner does not know which requests its predecessor sent.
     changes = [0.0, 0.2, 0.4, 0.6]
     sent = [
         at + start
         for start in changes
-        for at in count_grants(make_owner(), 0.1)
+        for at in list_grant_times(make_owner(), 0.1)
     ]
     assert len(sent) <= len(changes) * SERVERS
