--- a/test/test_block_sync.py
+++ b/test/test_block_sync.py
@@ -74,13 +74,13 @@
 
 async def test_a_partitioned_vm_loads_a_block_after_its_first_crash() -> None:
     log = Log()
-    here, beyond = Vm(log), Vm(log)
-    async with run(here, beyond):
+    here, partitioned = Vm(log), Vm(log)
+    async with run(here, partitioned):
         here.blocks.block("p", 3, steadyclock.read())
         await wait_for(lambda: "p" in log.kept)
-        assert not beyond.knows("p")
-        beyond.sync.request_reload()
-        await wait_for(lambda: beyond.knows("p"))
+        assert not partitioned.knows("p")
+        partitioned.sync.request_reload()
+        await wait_for(lambda: partitioned.knows("p"))
 
 
 async def test_a_wave_of_crashes_causes_few_loads() -> None:
--- a/test/test_distributor.py
+++ b/test/test_distributor.py
@@ -149,20 +149,20 @@
     async def ask(self, address: str, question: Any, timeout_s: float) -> Any:
         name = address.partition(":")[0]
         with anyio.move_on_after(timeout_s):
-            told = await self._deployment.vms[name].distributor.serve_updates(
+            answer = await self._deployment.vms[name].distributor.serve_updates(
                 question
             )
             if name in self._deployment.frozen:
                 await anyio.sleep_forever()
             if name in self._deployment.corrupt:
-                return _damage(told)
-            return told
+                return _damage(answer)
+            return answer
         raise link.LinkError(f"{address}: no answer")
 
 
-def _damage(told: peer_message.ToldStreams) -> peer_message.ToldStreams:
+def _damage(answer: peer_message.ToldStreams) -> peer_message.ToldStreams:
     """Returns an answer whose end does not match its records."""
-    (news,) = told.news
+    (news,) = answer.news
     return peer_message.ToldStreams(
         [peer_message.StreamNews(STREAM, news.start, [], news.end + 7, False)]
     )
--- a/test/test_follower.py
+++ b/test/test_follower.py
@@ -76,7 +76,7 @@
 
 
 def make_long_log(with_checkpoint: bool) -> MemoryLog:
-    """Returns a log of one bundle and a thousand repetitions that lose to it."""
+    """Returns a log of a bundle and a thousand repetitions that lose to it."""
     first = acceptance.Rollout(test_bundle.FIRST)
     records: list[acceptance.Record] = [first] * 1000
     if with_checkpoint:
--- a/test/test_gossip.py
+++ b/test/test_gossip.py
@@ -24,11 +24,11 @@
     def __init__(self, silent: set[str]) -> None:
         super().__init__(clock.HybridClock(lambda: 0), None)
         self._silent = silent
-        self.asked: list[str] = []
+        self.probed: list[str] = []
 
     async def ask(self, address: str, question: Any, timeout_s: float) -> Any:
         """See the base class."""
-        self.asked.append(address)
+        self.probed.append(address)
         if address in self._silent:
             raise link.LinkError(f"{address}: silent")
         name = address.partition(":")[0]
@@ -65,36 +65,36 @@
     # Found by spec/limit.py: some seconds after it had restarted alone on its
     # side of a network partition, a scheduler granted every limit in full.
     started = steadyclock.read()
-    made = make_gossiper(["a:1", "b:1", "c:1"])
+    gossiper = make_gossiper(["a:1", "b:1", "c:1"])
     for later_s in (0.0, gossip.JOIN_PERIOD_S + 1.0):
         now = started + later_s
         monkeypatch.setattr(steadyclock, "read", lambda at=now: at)
         part = gossip.LIMIT_SHARE_FACTOR / 3
-        assert made.get_limit_share() == pytest.approx(part)
+        assert gossiper.get_limit_share() == pytest.approx(part)
 
 
 def test_seeds_that_are_members_are_not_counted_twice() -> None:
-    made = make_gossiper(["b:1", "c:1"])
+    gossiper = make_gossiper(["b:1", "c:1"])
     met = [membership.Member(n, "z", f"{n}:1", 1) for n in "bc"]
-    made.membership.merge(met, steadyclock.read())
-    assert made.get_limit_share() == 1.0
+    gossiper.membership.merge(met, steadyclock.read())
+    assert gossiper.get_limit_share() == 1.0
 
 
 def test_stale_seeds_expire_like_dead_members(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made = make_gossiper(["b:1", "c:1"])
+    gossiper = make_gossiper(["b:1", "c:1"])
     later = steadyclock.read() + membership.FORGET_S
     monkeypatch.setattr(steadyclock, "read", lambda: later)
-    assert made.get_limit_share() == 1.0
+    assert gossiper.get_limit_share() == 1.0
 
 
 def test_one_unresponsive_member_causes_probes_of_others() -> None:
-    made = make_gossiper([], silent={"b:1", "c:1"})
+    gossiper = make_gossiper([], silent={"b:1", "c:1"})
     others = [membership.Member(n, "z", f"{n}:1", 1) for n in "bcd"]
-    made.membership.merge(others, steadyclock.read())
-    anyio.run(made.probe_now, "b:1")
-    states = {m.vm: m.state for m in made.membership.list_all()}
+    gossiper.membership.merge(others, steadyclock.read())
+    anyio.run(gossiper.probe_now, "b:1")
+    states = {m.vm: m.state for m in gossiper.membership.list_all()}
     suspected = [
         vm
         for vm, state in states.items()
@@ -154,9 +154,9 @@
 
 def test_stream_ends_are_exchanged_in_both_directions() -> None:
     followed = RecordingSource()
-    made = make_gossiper(["b:1"], bundle_source=followed)
+    gossiper = make_gossiper(["b:1"], bundle_source=followed)
     peer = membership.Member("b", "z", "b:1", 1)
-    answer = made.receive(peer_message.Gossip(peer, [], [], [], {"s": 9}))
+    answer = gossiper.receive(peer_message.Gossip(peer, [], [], [], {"s": 9}))
     assert followed.ends == {"s": 9}
     assert answer.ends == {"s": 9}
 
@@ -166,13 +166,13 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.knows_at: float | None = None
+        self.updated_at: float | None = None
 
     def update_stream_ends(self, ends: Mapping[str, int]) -> None:
         """See the base class."""
         if ends["s"] > self.ends["s"]:
             self.ends = dict(ends)
-            self.knows_at = steadyclock.read()
+            self.updated_at = steadyclock.read()
             self.on_news()
 
 
@@ -204,29 +204,29 @@
     network = Network()
     names = [f"m{number}" for number in range(MEMBERS)]
     members = [membership.Member(n, "z", f"{n}:1", 1) for n in names]
-    lost = {name: LostReadSource() for name in names}
+    sources = {name: LostReadSource() for name in names}
     for seed, name in enumerate(names):
-        made = make_gossiper(
-            [], bundle_source=lost[name], vm=name, client=network, seed=seed
+        gossiper = make_gossiper(
+            [], bundle_source=sources[name], vm=name, client=network, seed=seed
         )
-        made.membership.merge(members, 0.0)
-        made._joining_until = 0.0
-        network.peers[f"{name}:1"] = made
+        gossiper.membership.merge(members, 0.0)
+        gossiper._joining_until = 0.0
+        network.peers[f"{name}:1"] = gossiper
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            for made in network.peers.values():
-                tasks.start_soon(made.run)
+            for gossiper in network.peers.values():
+                tasks.start_soon(gossiper.run)
             await anyio.sleep(0.05)
             for name in names[: source.WATCHER_COUNT]:
-                lost[name].ends = {"s": 6}
-                lost[name].on_news()
+                sources[name].ends = {"s": 6}
+                sources[name].on_news()
             await anyio.sleep(SOON_S)
             tasks.cancel_scope.cancel()
 
     virtualtime.run(run)
-    knowing = sum(follower.ends["s"] == 6 for follower in lost.values())
-    assert knowing >= 0.85 * MEMBERS
+    updated_count = sum(each.ends["s"] == 6 for each in sources.values())
+    assert updated_count >= 0.85 * MEMBERS
 
 
 def test_few_members_watch_and_others_replace_dead_watchers() -> None:
@@ -234,80 +234,80 @@
     vms = "abcdefgh"
     for vm in vms:
         followed = RecordingSource()
-        made = make_gossiper([], bundle_source=followed, vm=vm)
+        gossiper = make_gossiper([], bundle_source=followed, vm=vm)
         others = [
             membership.Member(n, "z", f"{n}:1", 1) for n in vms if n != vm
         ]
-        made.membership.merge(others, 0.0)
-        made._publish()
-        watching[vm] = (made, followed)
+        gossiper.membership.merge(others, 0.0)
+        gossiper._publish()
+        watching[vm] = (gossiper, followed)
     watchers = {vm for vm, (_, f) in watching.items() if f.watching}
     assert len(watchers) == source.WATCHER_COUNT
     gone = [
         membership.Member(vm, "z", f"{vm}:1", 1, membership.MemberState.DEAD)
         for vm in watchers
     ]
-    for made, _ in watching.values():
-        made.membership.merge(gone, 1.0)
-        made._publish()
+    for gossiper, _ in watching.values():
+        gossiper.membership.merge(gone, 1.0)
+        gossiper._publish()
     left = {vm for vm, (_, f) in watching.items() if f.watching} - watchers
     assert len(left) == source.WATCHER_COUNT
 
 
 def test_a_scheduler_that_has_joined_stops_frequent_probes() -> None:
     peers = Peers(set())
-    made = make_gossiper(["b:1"], client=peers)
+    gossiper = make_gossiper(["b:1"], client=peers)
 
     async def run() -> None:
         with anyio.move_on_after(gossip.JOIN_PROBE_INTERVAL_S * 30):
-            await made.run()
+            await gossiper.run()
 
     anyio.run(run)
     # Each of the first probes may add a member; the same number of probes after
     # them adds none.  Without the early end there would be thirty probes.
-    assert len(peers.asked) <= 2 * gossip.QUIET_PROBES_TO_JOIN
+    assert len(peers.probed) <= 2 * gossip.QUIET_PROBES_TO_JOIN
 
 
 def test_member_seeds_get_no_extra_probes() -> None:
     # Each of 195 members sent one of three seeds an extra probe every 1.5 s:
     # 43 requests a second for each of the three.
     peers = Peers(set())
-    made = make_gossiper(["b:1"], client=peers)
+    gossiper = make_gossiper(["b:1"], client=peers)
     others = [membership.Member(f"m{n}", "z", f"m{n}:1", 1) for n in range(40)]
     seed = membership.Member("b", "z", "b:1", 1)
-    made.membership.merge([*others, seed], steadyclock.read())
-    neighbours = {m.address for m in made.membership.list_neighbours()}
+    gossiper.membership.merge([*others, seed], steadyclock.read())
+    neighbours = {m.address for m in gossiper.membership.list_neighbours()}
 
     async def run() -> None:
         for _ in range(4 * gossip.OTHER_ZONE_PROBE_PERIODS):
-            await made._run_period()
+            await gossiper._run_period()
 
     anyio.run(run)
-    assert set(peers.asked) <= neighbours
+    assert set(peers.probed) <= neighbours
     assert "b:1" not in neighbours
 
 
 def test_a_scheduler_fetches_the_full_member_list() -> None:
-    made = make_gossiper([])
-    asked = made._make_probe()
+    gossiper = make_gossiper([])
+    asked = gossiper._make_probe()
     assert asked.wanted_after == ""
     names = sorted(f"m{n}" for n in range(60))
     others = [membership.Member(n, "z", f"{n}:1", 1) for n in names]
-    lister = make_gossiper([], vm="l")
-    lister.membership.merge(others, steadyclock.read())
+    peer = make_gossiper([], vm="l")
+    peer.membership.merge(others, steadyclock.read())
     for _ in range(2):
-        made._apply_answer(lister.receive(made._make_probe()))
-    known = {member.vm for member in made.membership.list_alive()}
+        gossiper._apply_answer(peer.receive(gossiper._make_probe()))
+    known = {member.vm for member in gossiper.membership.list_alive()}
     assert known == {*names, "a", "l"}
-    assert made._make_probe().wanted_after is None
+    assert gossiper._make_probe().wanted_after is None
 
 
 def test_summaries_are_sent_only_if_other_zones_are_known() -> None:
-    made = make_gossiper([])
+    gossiper = make_gossiper([])
     key = message.ShardKey("z", "lm", 0)
     own = summary.ShardSummary(key, "a:1", 1, (0,), True, 1)
-    made.summaries.put([own], steadyclock.read())
-    assert made._make_message().summaries == []
+    gossiper.summaries.put([own], steadyclock.read())
+    assert gossiper._make_message().summaries == []
     other = membership.Member("b", "y", "b:1", 1)
-    made.receive(peer_message.Gossip(other, [], [], []))
-    assert made._make_message().summaries == [own]
+    gossiper.receive(peer_message.Gossip(other, [], [], []))
+    assert gossiper._make_message().summaries == [own]
