--- a/ramptray/core/__init__.py
+++ b/ramptray/core/__init__.py
@@ -1,1 +1,1 @@
-"""The decision core: plain objects with no sockets, clock or randomness."""
+"""The decision core: deterministic, without I/O or access to the clock."""
--- a/ramptray/core/anti_affinity.py
+++ b/ramptray/core/anti_affinity.py
@@ -1,4 +1,4 @@
-"""Keeps requests apart that may end the backend server they run on."""
+"""Anti-affinity of requests that may crash the backend server they run on."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def suspect_nothing(content: str) -> bool:
-    """Stands in where nothing is known of contents."""
+    """Suspects no content; the default if no detector is given."""
     return False
 
 
@@ -20,16 +20,19 @@
     request: message.RequestInfo,
     is_suspect: IsSuspect,
 ) -> list[backends.Backend]:
-    """Returns the candidates on which no other suspect runs, if there are any.
+    """Returns the candidates on which no other suspect content is running.
 
-    Load pattern: a backend server has ended, and all that ran there is sent on
-    at once.  Sent on together, suspect and cleared requests meet the next
-    crash together too, and cannot be told apart.
+    When a backend server crashes, all of its requests are retried at once.  If
+    they were sent to the same server again, harmless and suspect requests would
+    be part of the next crash together and could not be told apart.
 
     Args:
-        candidates: The backend servers that the request may go to.
+        candidates: The backend servers that the request may be sent to.
         request: The request.
-        is_suspect: Returns whether anything speaks against a content.
+        is_suspect: Returns whether a content is suspected of causing crashes.
+
+    Returns:
+        The candidates without other suspects, or all if there are none.
     """
     if not is_suspect(request.content):
         return candidates
--- a/ramptray/core/clock.py
+++ b/ramptray/core/clock.py
@@ -1,7 +1,7 @@
-"""Hybrid logical clock: orders events over processes with skewed clocks.
+"""Hybrid logical clock: orders events of processes with skewed clocks.
 
-A value is the wall clock in microseconds, pushed forward so that a message's
-receipt always has a larger value than its sending.
+A value is the wall clock in microseconds, advanced so that receiving a message
+always has a larger value than sending it.
 """
 
 from __future__ import annotations
--- a/ramptray/core/granting.py
+++ b/ramptray/core/granting.py
@@ -1,4 +1,4 @@
-"""Granting backend servers to the requests that wait in a shard."""
+"""Grants the queued requests of a shard slots on backend servers."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 from ramptray.core import rules as shard_rules
 
 MAX_HEADS_TRIED = 4
-"""Customers whose first request is tried before a tier is left waiting."""
+"""Customers of a tier whose first requests are tried in each round."""
 
 
 class Granter:
-    """Grants places to waiting requests, highest tier first.
+    """Grants slots on backend servers to queued requests, highest tier first.
 
     Args:
-        address: The owner's address, which its grants name.
-        rules: What the bundle says about the shard.
+        address: The owner's address, which is sent in its grants.
+        rules: The configuration of the shard.
         shard_queue: The queue.
         servers: The shard's backend servers.
-        limits: The part of each limit that this owner hands out.
+        limits: The rate limits, of which this owner hands out a part.
         server_selector: Chooses a backend server.
-        estimator: Counts grants.
-        releases: Counts what each release gets.
-        counters: What the shard has done.
+        estimator: Measures the rate of grants.
+        releases: Counts the requests of each release.
+        counters: Numbers of decisions, which are updated here.
 
     Attributes:
-        rules: The same; replaced with each bundle.
+        rules: The configuration of the shard; replaced with each bundle.
     """
 
     def __init__(
@@ -68,15 +68,15 @@
     def grant(
         self, now: float, only: list[backends.Backend] | None = None
     ) -> list[owner_effect.SendToEntry]:
-        """Grants as much as fits, highest tier first.
+        """Grants as many requests as fit, highest tier first.
 
         Args:
             now: The owner's clock in seconds.
-            only: The backend servers that have got room; None for any.
+            only: The backend servers on which a slot became free; None for any.
         """
         out = self._grant_once(now, only)
         if out and only is not None and self._queue:
-            # Requests behind the granted ones may fit on other servers.
+            # The next requests in the queue may fit on other servers.
             out += self._grant_once(now, None)
         return out
 
@@ -102,7 +102,8 @@
     ) -> list[queue.QueuedRequest]:
         """Returns the requests that are tried first.
 
-        In a pause of one entry, the requests of others are not held up by it.
+        Requests of an entry that every server has asked for a pause do not
+        block those of other entries.
         """
         if not self._fleet.eligibility.has_pauses(now):
             return tier.list_heads(MAX_HEADS_TRIED)
@@ -119,15 +120,15 @@
         only: list[backends.Backend] | None,
         ahead: list[queue.QueuedRequest],
     ) -> owner_effect.SendToEntry | None:
-        """Grants one request of a tier, if there is a place for one.
+        """Grants one request of a tier, if a slot is available.
 
         Args:
             tier: The tier.
-            share: The part of each engine's places that it may use.
+            share: The part of each engine's slots that the tier may use.
             now: The owner's clock in seconds.
-            only: The backend servers that have got room; None for any.
-            ahead: Waiting requests of higher tiers; the places that they may
-                take are not for this one.
+            only: The backend servers on which a slot became free; None for any.
+            ahead: Queued requests of higher tiers; slots that they could use
+                are reserved for them.
         """
         if not tier.count:
             return None
@@ -146,13 +147,13 @@
                     other.passed_over += waiting.cost
                 return self._place(tier, waiting, chosen, now)
             if waiting.is_starved:
-                # Others only go where it may not.
+                # Reserve the slots that a starved request could use.
                 ahead = [*ahead, waiting]
             skipped.append(waiting)
         return None
 
     def _demote_late_heads(self, tier: queue.TierQueue, now: float) -> None:
-        """Moves heads that are too late behind those that may be in time."""
+        """Demotes head requests that can no longer meet their objective."""
         while late := [
             waiting
             for waiting in self._list_heads(tier, now)
@@ -179,7 +180,7 @@
         )
         self._wait_estimator.count_grant(waiting, now)
         self._counters.granted += 1
-        self._releases.count_sent(chosen)
+        self._releases.count_request(chosen)
         return owner_effect.SendToEntry(
             waiting.entry,
             message.Grant(
@@ -205,11 +206,11 @@
         )
 
     def demote_late(self, now: float) -> None:
-        """Moves requests that cannot be in time behind all that can.
+        """Demotes all requests that can no longer meet their objective.
 
-        Load pattern: all backend servers name a limit at once.  Requests are
-        then served at a known pace, and those beyond it are late from the
-        start.
+        When all backend servers announce a rate limit at the same time,
+        requests are served at a known rate, and those beyond it are late from
+        the start.
         """
         rate_per_s = self._wait_estimator.get_rate_limit(now)
         pause_s = 1.0 / rate_per_s if rate_per_s else 0.0
@@ -226,7 +227,7 @@
 
 
 def _get_remaining_s(waiting: queue.QueuedRequest, now: float) -> float | None:
-    """Returns the seconds left for an answer in time, for the logs."""
+    """Returns the seconds until a response would be late, for the logs."""
     if waiting.late_at == math.inf:
         return None
     return round(waiting.late_at - now, 4)
--- a/ramptray/core/limit.py
+++ b/ramptray/core/limit.py
@@ -1,19 +1,21 @@
-"""Customers' rate limits, as token buckets in the zone's share.
-
-A customer's limit is divided evenly among the zones.  What other zones leave
-unused, by their own fresh word, a zone may use on top of its share; a zone that
-hears nothing of the others keeps its share and no more.
-
-Load pattern: a customer sends in bursts, or its limit was lowered to about what
-it sends, while places are free.  Where the limit is a total over any span of
-some seconds, a bucket of its rate and burst hands out much less than that: it
-grants its burst once and then only the rate.  So the total is counted over the
-span itself, and the bucket only keeps it from being used in one lump.  That
-bucket refills at the total's own pace and is empty at first.  So an owner that
-takes over, knowing nothing of what its predecessor handed out, adds no more in
-the rest of the span than a steady use would have, however often owners change.
-After a restart of everything each VM is its own owner for a moment: even a
-little at the start would add up.
+"""Customers' rate limits, as token buckets of each zone's share.
+
+A customer's limit is divided evenly among the zones.  A zone may borrow what
+other zones leave unused according to their recent summaries; without recent
+summaries it is restricted to its own share.
+
+A limit may also be a total over any span of some seconds.  A token bucket of
+its rate and burst would allow much less than that total, as it grants the burst
+once and then only the rate.  This would refuse requests of a customer that
+sends in bursts, or whose limit was lowered to about what it sends, while slots
+are free.  So the total is counted over a sliding window, and the bucket only
+limits how much of it may be used at once.
+
+This bucket refills at the average rate of the total and starts empty.  A new
+owner does not know what its predecessor granted; starting empty, it adds no
+more in the rest of the span than steady use would, however often the owner
+changes.  After a restart of all VMs each of them is briefly its own owner, so
+that even a small initial level would add up.
 """
 
 from __future__ import annotations
@@ -27,46 +29,48 @@
 from ramptray.core import meter
 
 BURST_S = 2.0
-"""How many seconds' worth of its rate a customer may use at once."""
+"""Default burst, in seconds of the customer's rate."""
 
 USE_WINDOW_S = 3.0
-"""Span over which a customer's use is measured, in seconds."""
+"""Window over which a customer's demand is measured, in seconds."""
 
 MAX_RETRY_AFTER_S = 2.0
-"""Longest advice on when to come back, in seconds: what a customer asks later
-than that is not known, and many callers give up a request that is older."""
+"""Longest Retry-After for a customer's limit, in seconds.  Demand beyond that
+cannot be predicted, and many callers abandon requests that are older."""
 
 SPAN_USABLE_PART = 0.78
-"""Part of a total over a span that is handed out in it.  With what may be used
-at once and its overdraft it makes the whole: an owner that takes over within a
-span does not know what was handed out before."""
+"""Part of a span's total that one owner grants in a span.  Together with the
+burst and its overdraft it makes up the whole total, as an owner that takes over
+within a span does not know what was granted before."""
 
 SPAN_BURST_PART = 0.17
-"""Part of a total over a span that may be used at once."""
+"""Part of a span's total that may be used at once."""
 
 OVERDRAFT_PART = 0.25
-"""Part of what may be used at once by which one request may overdraw it."""
+"""Part of a span's burst by which one request may overdraw the bucket."""
 
 LENDING_MARGIN = 0.1
-"""Part of a zone's share that is never lent, since words are late."""
+"""Part of a zone's share that is never lent, as summaries arrive late."""
 
 STAND_IN_PART = 0.5
-"""Part of its share of backend servers' rates that a stand-in hands out: the
-owner may be granting as before, and servers have no slack for both."""
+"""Part of its share of the backend servers' rate limits that a stand-in for a
+lost owner uses.  The owner may still be granting, and servers tolerate no
+excess by both."""
 
 MAX_USES = 16
-"""Customers whose use is sent to other zones."""
+"""Largest number of customers whose use is sent to other zones."""
 
 
 class RateLimit(msgspec.Struct, frozen=True):
-    """A customer's limit in one zone; None where there is none.
+    """A customer's limits in one zone; None means unlimited.
 
     Attributes:
         requests_per_s: Requests a second.
         tokens_per_s: Cost a second, as ``queue.compute_cost`` counts it.
-        burst: What may be used at once; None for two seconds' worth.
-        span_s: Span over which a total is held instead; None for none.
-        span_total: Most of what is counted in any such span.
+        burst: Bucket size; None for ``BURST_S`` seconds of the rate.
+        span_s: Span of a total that applies instead of the rate and burst; None
+            for no such total.
+        span_total: Largest amount in any such span.
     """
 
     requests_per_s: float | None = None
@@ -77,14 +81,15 @@
 
 
 class _BucketConfig(msgspec.Struct, frozen=True):
-    """How a bucket fills and empties.
+    """Parameters of a token bucket.
 
     Attributes:
-        rate: What it gains a second.
-        depth: The most it holds.
-        start: What it holds at first.
-        overdraft: By how much one request may overdraw it; None for any.
-        span_s: Span over which a total is held beside it; None for none.
+        rate: Refill per second.
+        depth: Capacity.
+        start: Initial level.
+        overdraft: Amount by which one request may overdraw it; None for no
+            restriction.
+        span_s: Span of an additional total; None for no such total.
         span_total: The total.
     """
 
@@ -97,7 +102,7 @@
 
 
 def _make_bucket_config(rate: RateLimit, per_s: float) -> _BucketConfig:
-    """Returns the shape of a bucket for one kind of what is counted."""
+    """Returns the parameters of the bucket for requests or for tokens."""
     if rate.span_s is not None:
         total = rate.span_total * SPAN_USABLE_PART
         depth = rate.span_total * SPAN_BURST_PART
@@ -114,7 +119,7 @@
 
 
 class _SlidingWindow:
-    """What was taken within a sliding span of time."""
+    """Sums the amounts taken within a sliding window."""
 
     def __init__(self, span_s: float) -> None:
         self._span_s = span_s
@@ -124,12 +129,12 @@
         self._sum = 0.0
 
     def add(self, amount: float, now: float) -> None:
-        """Counts what is taken at this moment."""
+        """Adds an amount that is taken now."""
         self._taken.append((now, amount))
         self._sum += amount
 
     def remove(self, amount: float, taken_at: float) -> None:
-        """Takes back what was counted at a moment, if it still counts."""
+        """Removes an earlier amount, if it is still in the window."""
         with contextlib.suppress(ValueError):
             self._taken.remove((taken_at, amount))
             self._sum -= amount
@@ -149,7 +154,7 @@
 
 
 class _TokenBucket:
-    """A token bucket that also measures what was asked of it."""
+    """A token bucket that also measures the demand on it."""
 
     def __init__(self, shape: _BucketConfig, part: float, now: float) -> None:
         self.share = shape.rate
@@ -164,19 +169,19 @@
         self._demand = meter.RateMeter(USE_WINDOW_S)
 
     def get_size(self) -> float:
-        """Returns the most that may be used at once."""
+        """Returns the capacity at the current rate."""
         return max(self._config.depth * self.rate / self.share, 1.0)
 
     def set_rate(self, rate: float) -> None:
-        """Takes another rate; what is left grows or shrinks with it."""
+        """Changes the rate and scales the level accordingly."""
         if self._level > 0:
             self._level *= rate / self.rate
         self.rate = rate
 
     def inherit(self, former: _TokenBucket) -> None:
-        """Starts with what a bucket of the same customer has left.
+        """Inherits the state of the customer's previous bucket.
 
-        Without it, each change of the configuration would fill all buckets.
+        Otherwise each change of the configuration would refill all buckets.
         """
         part = former._level / former.get_size()
         self._level = min(self.get_size(), max(0.0, part) * self.get_size())
@@ -187,13 +192,13 @@
             self._span = former._span
 
     def take(self, amount: float, now: float) -> None:
-        """Takes what ``get_wait`` has just let through."""
+        """Takes an amount for which ``get_wait`` has just returned 0."""
         self._level -= amount
         if self._span is not None:
             self._span.add(amount, now)
 
     def refund(self, amount: float, taken_at: float) -> None:
-        """Takes back what was not used in the end."""
+        """Returns an amount to the bucket that was not used."""
         self._level = min(self.get_size(), self._level + amount)
         if self._span is not None:
             self._span.remove(amount, taken_at)
@@ -201,8 +206,8 @@
     def get_wait(self, amount: float, now: float) -> float:
         """Returns the seconds until the amount may be taken, 0 for now.
 
-        Those that were refused come back, and the bucket serves one after the
-        other: each gets the time by which those before it are through.
+        Refused requests are retried, and the bucket serves them one after the
+        other.  So the time includes that of those refused before.
         """
         self._demand.add(int(amount), now)
         earned = (now - self._filled_at) * self.rate
@@ -226,9 +231,8 @@
     def _get_needed(self, amount: float) -> float:
         """Returns the level at which a request is admitted.
 
-        Tokens may be overdrawn by one request: were a request admitted only
-        where it fits, a customer near its limit would get the small ones
-        through and never a large one.
+        One request may overdraw the bucket.  Otherwise, the small requests of a
+        customer near its limit would be admitted, but never a large one.
         """
         needed = min(amount, 1.0)
         if self._config.overdraft is not None:
@@ -237,7 +241,7 @@
         return min(needed, self.get_size())
 
     def get_use(self, now: float) -> float:
-        """Returns what is asked, as a part of the zone's own share."""
+        """Returns the demand in relation to the zone's own share."""
         return self._demand.get_rate(now) / self.share
 
 
@@ -245,8 +249,8 @@
     """The token buckets of all customers of a shard.
 
     Attributes:
-        part: The part of every limit that may be handed out here.
-        server_part: The part of backend servers' rate limits likewise.
+        part: The part of each customer's limit that this owner may grant.
+        server_part: The part of each backend server's rate limit likewise.
     """
 
     def __init__(self, rates: dict[str, RateLimit]) -> None:
@@ -258,18 +262,19 @@
         self._wanted_elsewhere: frozenset[str] = frozenset()
 
     def set_rates(self, rates: dict[str, RateLimit]) -> None:
-        """Takes the rates of the bundle in force; the same change nothing."""
+        """Applies the rates of the bundle in force if they have changed."""
         if rates != self._rates:
             self._rates = rates
             self._former_buckets = {**self._former_buckets, **self._buckets}
             self._buckets = {}
 
     def set_part(self, part: float, stands_in: bool = False) -> None:
-        """Takes the part of every limit that this owner may hand out.
+        """Sets the part of each limit that this owner may grant.
 
         Args:
-            part: From 0 to 1; 1 where no other owner can be handing out.
-            stands_in: Whether the owner is only believed to be lost.
+            part: From 0 to 1; 1 if no other owner can be granting.
+            stands_in: Whether this owner stands in for one that is only
+                suspected to be lost.
         """
         self.server_part = part * (STAND_IN_PART if stands_in else 1.0)
         if part == self.part:
@@ -280,10 +285,10 @@
                 bucket.set_rate(bucket.share * part)
 
     def try_acquire(self, customer: str, cost: int, now: float) -> float:
-        """Takes a request from the customer's buckets if it fits.
+        """Takes a request's amounts from the customer's buckets if it fits.
 
         Returns:
-            0 where the request fits, else the seconds until it would.
+            0 if the request fits, else the seconds until it would.
         """
         amounts = _make_amounts(cost)
         buckets = self._get_buckets(customer, now)
@@ -297,21 +302,22 @@
         return wait_s
 
     def refund(self, customer: str, cost: int, taken_at: float) -> None:
-        """Takes back what a request took that did not run.
+        """Refunds the amounts of a request that did not run.
 
         Args:
             customer: The customer.
-            cost: What it was counted as.
-            taken_at: When ``try_acquire`` let it through.
+            cost: The cost it was counted with.
+            taken_at: When ``try_acquire`` admitted it.
         """
         amounts = _make_amounts(cost)
         for kind, bucket in self._buckets.get(customer, []):
             bucket.refund(amounts[kind], taken_at)
 
     def list_uses(self, now: float) -> dict[str, float]:
-        """Returns the use of those customers that some zone wants more for.
+        """Returns the use of customers for which some zone needs more.
 
-        Use is a part of the zone's own share; more than 1 wants more.
+        Use is the demand in relation to the zone's own share; a zone with a
+        use above 1 needs more.
         """
         uses = {c: self._get_use(c, now) for c in self._buckets}
         wanted = [
@@ -324,10 +330,10 @@
         return {c: round(uses.get(c, 0.0), 2) for c in wanted[:MAX_USES]}
 
     def borrow(self, elsewhere: Iterable[dict[str, float]]) -> None:
-        """Takes the uses of the other zones.
+        """Borrows what other zones do not use.
 
         Args:
-            elsewhere: A mapping for each zone with a fresh summary.
+            elsewhere: The uses by customer of each zone with a recent summary.
         """
         fresh = list(elsewhere)
         wanted: dict[str, int] = {}
@@ -384,5 +390,5 @@
 
 
 def _make_amounts(cost: int) -> dict[str, float]:
-    """Returns what a request counts, by the kind of what is counted."""
+    """Returns a request's amounts by kind of limit."""
     return {"requests": 1.0, "tokens": float(cost)}
--- a/ramptray/core/meter.py
+++ b/ramptray/core/meter.py
@@ -1,11 +1,11 @@
-"""A rate over a sliding window."""
+"""Sums and rates over a sliding window."""
 
 from __future__ import annotations
 
 import collections
 
 MIN_SPAN_S = 1.0
-"""Shorter spans than this are counted as this long, in seconds."""
+"""Shortest span by which a sum is divided for a rate, in seconds."""
 
 
 class RateMeter:
@@ -19,7 +19,7 @@
         self._sum = 0
 
     def add(self, amount: int, now: float) -> None:
-        """Counts an amount at this moment."""
+        """Adds an amount at the current time."""
         self._amounts.append((now, amount))
         self._sum += amount
         self._prune(now)
@@ -30,7 +30,7 @@
         return self._sum
 
     def get_rate(self, now: float) -> float:
-        """Returns the amount a second, or 0 where nothing was counted."""
+        """Returns the amount a second, or 0 for fewer than two amounts."""
         self._prune(now)
         if len(self._amounts) < 2:
             return 0.0
--- a/ramptray/core/owner_effect.py
+++ b/ramptray/core/owner_effect.py
@@ -1,4 +1,4 @@
-"""What a shard's owner has sent to entries, with the inputs of its decision."""
+"""Messages of a shard's owner to entries, with the inputs of its decisions."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
     """Inputs of a decision on a request, for the logs.
 
     Attributes:
-        waiting: Requests that waited in the shard.
-        running: Requests that ran on the backend server chosen, or on all.
-        places: How many may run there.
-        expected_s: Expected seconds to the first token; None where no backend
+        waiting: Queued requests of the shard.
+        running: Requests running on the chosen backend server, or on all.
+        places: Number of requests that may run there.
+        expected_s: Expected seconds to the first token; None if no backend
             server was chosen.
         step_s: Expected seconds between two tokens; likewise.
-        left_s: Seconds left for an answer in time; None where there is no
-            objective.
+        left_s: Seconds left to meet the objective for the first token; None if
+            there is no objective.
         rate_limit_per_s: Requests a second that this owner may send to the
-            backend server; None where nothing limits them.
+            backend server; None if they are not limited.
     """
 
     waiting: int
--- a/ramptray/core/pacer.py
+++ b/ramptray/core/pacer.py
@@ -1,8 +1,8 @@
-"""Even spacing of the requests to one backend server.
+"""Pacing of the requests to one backend server.
 
-Load pattern: a backend server accepts few requests a second, because it is
-still warming up or because it names a limit, while many wait for it.  A burst
-would overload it, and so would the bursts of owners that follow one another.
+A backend server may accept few requests a second while many are queued, because
+it is warming up or has announced a rate limit.  A burst would overload it, and
+so would the bursts of successive owners.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import math
 
 _ROUNDING_S = 1e-9
-"""Rounding error of sums of intervals, in seconds."""
+"""Tolerance for rounding errors in sums of intervals, in seconds."""
 
 
 class Pacer:
@@ -22,7 +22,7 @@
         self._last_at = -math.inf
 
     def record_send(self, sent_at: float) -> None:
-        """Counts a request.
+        """Records a request that was sent.
 
         Args:
             sent_at: When it was sent, on the owner's clock in seconds.
@@ -30,7 +30,7 @@
         self._last_at = max(self._last_at, sent_at)
 
     def get_wait(self, now: float, rate_per_s: float) -> float:
-        """Returns the seconds until one more request may be sent, 0 for now.
+        """Returns the seconds until the next request may be sent, 0 for now.
 
         Args:
             now: The owner's clock in seconds.
--- a/ramptray/core/queue.py
+++ b/ramptray/core/queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait in a shard: by tier, and fair by tokens within a tier."""
+"""A shard's queue: priority tiers with fair queueing by tokens in each."""
 
 from __future__ import annotations
 
@@ -13,18 +13,17 @@
 from ramptray.core import message
 
 OUTPUT_WEIGHT = 4
-"""Cost of an output token in prompt tokens: decoding is the slower part."""
-
+"""Cost of an output token in prompt tokens, as decoding is slower."""
 
 MAX_SCANNED_REQUESTS = 64
-"""Requests of a customer that are looked at for the first ones of entries."""
+"""Requests of a customer that are scanned for the first one of each entry."""
 
 MAX_ENTRY_HEADS = 4
-"""Entries of a customer whose first request is listed."""
+"""Entries per customer whose first request is listed."""
 
 
 def compute_cost(request: message.RequestInfo) -> int:
-    """Returns a request's cost in prompt tokens, for queues and fairness."""
+    """Returns a request's cost in prompt tokens, for queueing and fairness."""
     return request.prompt_tokens + OUTPUT_WEIGHT * request.output_tokens
 
 
@@ -32,18 +31,20 @@
     """A request in the queue.
 
     Attributes:
-        request: Its facts.
-        entry: The entry that has its caller.
+        request: The request's properties.
+        entry: The entry that holds the caller's connection.
         rank: Its tier's rank.
-        deadline: When its answer is of no more use.
-        cost: Its cost.
-        since: When it began to wait.
-        passed_over: Cost of requests that went before it since it was first.
-        late_at: When its answer begins too late; infinite where never.
-        refuse_at: When it is refused if it still waits.
-        is_late: Whether it has moved behind all that may still be in time.
-        counted_at: When it was counted against its customer's limit; None
-            where it was not, or not here.
+        deadline: Time after which its response is useless.
+        cost: Its cost, see ``compute_cost``.
+        since: When it was queued.
+        passed_over: Cost of the requests granted before it while it was first.
+        late_at: When it misses its objective for the first token; infinite if
+            it has none.
+        refuse_at: When it is refused if it is still queued.
+        is_late: Whether it was demoted behind all requests that can still meet
+            their objective.
+        counted_at: When this owner counted it against its customer's limit;
+            None if it did not.
     """
 
     request: message.RequestInfo
@@ -60,16 +61,19 @@
 
     @property
     def is_starved(self) -> bool:
-        """Whether no other may go before it any more."""
+        """Whether no other request may be granted before it any more.
+
+        Requests of at least its own cost have then been granted before it.
+        """
         return self.passed_over >= self.cost
 
 
 class TierQueue:
-    """The waiting requests of one tier, shared fairly among customers.
+    """The queued requests of one tier, scheduled fairly among customers.
 
     Start-time fair queueing over customers: the one that has used the fewest
-    tokens for its share goes first.  A customer that was idle starts at the
-    current virtual time, so it cannot save up a claim on the whole service.
+    tokens relative to its weight goes first.  A customer that was idle starts
+    at the current virtual time, so it cannot accumulate credit while idle.
     """
 
     def __init__(self) -> None:
@@ -102,7 +106,7 @@
         queue.move_to_end(waiting.request.request_id, last=False)
 
     def remove(self, waiting: QueuedRequest) -> None:
-        """Takes a request out, wherever it stands."""
+        """Removes a request at any position."""
         customer = waiting.request.customer
         queue = self._queues[customer]
         del queue[waiting.request.request_id]
@@ -111,12 +115,17 @@
         self.cost -= waiting.cost
         self.count -= 1
 
-    def charge(self, waiting: QueuedRequest, share: float) -> None:
-        """Counts a granted request against its customer's share."""
+    def charge(self, waiting: QueuedRequest, weight: float) -> None:
+        """Charges a granted request to its customer.
+
+        Args:
+            waiting: The request.
+            weight: The customer's weight.
+        """
         customer = waiting.request.customer
         used = self._used.get(customer, self._virtual_time)
         self._virtual_time = max(self._virtual_time, used)
-        self._used[customer] = used + waiting.cost / share
+        self._used[customer] = used + waiting.cost / weight
         if customer in self._queues:
             heapq.heappush(self._heap, (self._used[customer], customer))
         if len(self._used) > 4 * len(self._queues) + 64:
@@ -156,13 +165,14 @@
         return heads
 
     def list_all(self) -> list[QueuedRequest]:
-        """Returns every waiting request, each customer's in order."""
+        """Returns every queued request, in order within each customer."""
         return [w for queue in self._queues.values() for w in queue.values()]
 
     def pick_victim(self) -> QueuedRequest | None:
         """Returns the request to shed first, or None.
 
-        It is the newest one of the customer furthest over its share.
+        It is the newest one of the customer that has used the most tokens
+        relative to its weight.
         """
         if not self._queues:
             return None
@@ -180,7 +190,7 @@
 
 
 class ShardQueue:
-    """All that waits in a shard, by tier, highest tier first.
+    """All queued requests of a shard by tier, highest tier first.
 
     Args:
         ranks: Rank of each tier by name; 0 is the highest.
@@ -199,11 +209,11 @@
 
     @property
     def cost(self) -> int:
-        """Cost of all that waits."""
+        """Total cost of the queued requests."""
         return sum(tier.cost for tier in self.tiers)
 
     def set_ranks(self, ranks: dict[str, int]) -> None:
-        """Takes the tiers of the bundle in force."""
+        """Applies the tiers of the bundle in force."""
         self._ranks = ranks
         count = max(ranks.values(), default=0) + 1
         ordered = [w for tier in self.tiers for w in tier.list_all()]
@@ -216,9 +226,9 @@
             self.tiers[waiting.rank].push(waiting)
 
     def demote(self, waiting: QueuedRequest) -> None:
-        """Moves a request that is too late behind all that are not.
+        """Moves a late request behind all requests that are not late.
 
-        Among the late ones the tiers keep their order.
+        Late requests are ordered by tier among themselves.
         """
         self.tiers[waiting.rank].remove(waiting)
         waiting.is_late = True
@@ -233,7 +243,7 @@
     def make(
         self, request: message.RequestInfo, entry: str, now: float
     ) -> QueuedRequest:
-        """Returns a request as it would wait; it does not yet."""
+        """Returns a queue item for a request, without queueing it."""
         return QueuedRequest(
             request,
             entry,
@@ -256,29 +266,29 @@
         self.tiers[waiting.rank].push_front(waiting)
 
     def remove(self, waiting: QueuedRequest) -> None:
-        """Takes a request out."""
+        """Removes a request."""
         del self._waiting[waiting.request.request_id]
         self.tiers[waiting.rank].remove(waiting)
 
     def discard(self, request_id: str) -> None:
-        """Takes a request out, if it waits."""
+        """Removes a request if it is queued."""
         if waiting := self._waiting.get(request_id):
             self.remove(waiting)
 
     def discard_entry(self, entry: str) -> None:
-        """Takes out all that one entry has waiting."""
+        """Removes all queued requests of an entry."""
         for waiting in self.list_all():
             if waiting.entry == entry:
                 self.remove(waiting)
 
     def list_all(self) -> list[QueuedRequest]:
-        """Returns every waiting request, in order of arrival."""
+        """Returns every queued request, in order of arrival."""
         return list(self._waiting.values())
 
     def list_late(self) -> list[QueuedRequest]:
-        """Returns the late requests while others wait that may be in time.
+        """Returns the late requests if any other request is queued.
 
-        They would begin only after all of those, and more arrive meanwhile.
+        Those would be served first, and more arrive in the meantime.
         """
         in_time = self.tiers[: self._tier_count]
         if not any(tier.count for tier in in_time):
@@ -287,7 +297,7 @@
         return [waiting for tier in late for waiting in tier.list_all()]
 
     def list_expired(self, now: float) -> list[QueuedRequest]:
-        """Returns the requests that are not to wait any longer."""
+        """Returns the requests that are past a deadline or refusal time."""
         return [
             w
             for w in self._waiting.values()
@@ -300,19 +310,19 @@
         return next((v for v in victims if v is not None), None)
 
     def get_cost_ahead(self, waiting: QueuedRequest) -> int:
-        """Returns the cost of what goes before a request at most."""
+        """Returns an upper bound of the cost queued before a request."""
         ahead = sum(tier.cost for tier in self.tiers[: waiting.rank + 1])
         return ahead - waiting.cost
 
     def get_count_ahead(self, waiting: QueuedRequest) -> int:
-        """Returns how many requests that may be in time go before one."""
+        """Returns how many requests that are not late go before a request."""
         in_time = self.tiers[: self._tier_count]
         ahead = sum(tier.count for tier in in_time[: waiting.rank + 1])
         counted = not waiting.is_late and waiting.request.request_id in self
         return ahead - counted
 
     def has_lower(self, rank: int) -> bool:
-        """Returns whether a request of a lower tier waits."""
+        """Returns whether a request of a lower tier is queued."""
         return any(tier.count for tier in self.tiers[rank + 1 :])
 
     def _get_rank(self, request: message.RequestInfo) -> int:
@@ -320,12 +330,12 @@
 
 
 def _list_entry_heads(
-    line: Iterable[QueuedRequest], is_held: Callable[[str], bool]
+    queued: Iterable[QueuedRequest], is_paused: Callable[[str], bool]
 ) -> list[QueuedRequest]:
-    """Returns the first requests of a few entries in a customer's line."""
+    """Returns the first request of each of a few entries of a customer."""
     first: dict[str, QueuedRequest] = {}
-    for waiting in itertools.islice(line, MAX_SCANNED_REQUESTS):
-        if waiting.entry not in first and not is_held(waiting.entry):
+    for waiting in itertools.islice(queued, MAX_SCANNED_REQUESTS):
+        if waiting.entry not in first and not is_paused(waiting.entry):
             first[waiting.entry] = waiting
         if len(first) >= MAX_ENTRY_HEADS:
             break
--- a/ramptray/core/release.py
+++ b/ramptray/core/release.py
@@ -1,4 +1,4 @@
-"""Which releases of a service may get a request while one is rolled out."""
+"""Selects the releases that may receive a request during a rollout."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class ReleaseGate:
-    """Applies a rollout to a shard's choices and passes answers to it.
+    """Applies a rollout to a shard's server choice and reports responses to it.
 
     Args:
         servers: The shard's backend servers.
-        placement_policy: How they are chosen.
-        limits: Whose part of what all owners share is this owner's.
+        placement_policy: Chooses a server among the candidates.
+        limits: Gives this owner's part of what all owners share.
 
     Attributes:
-        rollout: The rollout that is ordered, if there is one.
+        rollout: The ordered rollout, if any.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
     def set_order(
         self, order: rollout.Order | None, verdict: rollout.Verdict | None
     ) -> None:
-        """Takes the rollout that is ordered, and what is known of it."""
+        """Applies the ordered rollout and its known verdict, if any."""
         if order is None:
             self.rollout = None
             return
@@ -41,8 +41,8 @@
         if verdict is not None:
             self.rollout.learn(verdict)
 
-    def decide(self, now: float) -> None:
-        """Goes on with the rollout as far as time and evidence allow."""
+    def advance(self, now: float) -> None:
+        """Advances the rollout as far as time and evidence allow."""
         if self.rollout is None:
             return
         new: list[backends.Backend] = []
@@ -59,7 +59,7 @@
     def filter_allowed(
         self, candidates: list[backends.Backend]
     ) -> list[backends.Backend]:
-        """Returns the candidates whose release may get a request now."""
+        """Returns the candidates whose release may receive a request now."""
         if self.rollout is None:
             return candidates
         part = self._limits.part
@@ -72,24 +72,24 @@
     def choose(
         self, demand: policy.Demand, candidates: list[backends.Backend]
     ) -> backends.Backend | None:
-        """Chooses a place; a release that is tried out comes first.
+        """Chooses a server, preferring the release that is rolled out.
 
-        By cost alone servers that nothing is known of might never be chosen,
-        and nothing would be learned of the release.
+        By cost alone, servers without measurements might never be chosen, and
+        the rollout would get no data on the release.
         """
-        tried: list[backends.Backend] = []
+        new: list[backends.Backend] = []
         if self.rollout is not None and not self.rollout.state.is_final:
-            tried = [c for c in candidates if self._is_new(c)]
-        chosen = self._policy.choose(demand, tried) if tried else None
+            new = [c for c in candidates if self._is_new(c)]
+        chosen = self._policy.choose(demand, new) if new else None
         return chosen or self._policy.choose(demand, candidates)
 
-    def count_sent(self, chosen: backends.Backend) -> None:
-        """Counts a request that was granted."""
+    def count_request(self, chosen: backends.Backend) -> None:
+        """Counts a granted request towards its server's release."""
         if self.rollout is not None:
             self.rollout.note_sent(self._is_new(chosen))
 
-    def record_answer(self, ended: message.Ended) -> None:
-        """Tells the rollout how an answer went, if that says anything."""
+    def record_response(self, ended: message.Ended) -> None:
+        """Reports a complete or failed response to the rollout."""
         backend = self._fleet.find(ended.request_id)
         placed = self._fleet.get_placed(ended.request_id)
         if self.rollout is None or backend is None or placed is None:
@@ -114,5 +114,5 @@
 
 
 def _count_places(servers: list[backends.Backend]) -> int:
-    """Returns the places of those that may get work."""
+    """Returns the number of slots of the servers that are not lost."""
     return sum(b.info.max_running for b in servers if not b.is_lost)
--- a/ramptray/core/remote_shards.py
+++ b/ramptray/core/remote_shards.py
@@ -1,4 +1,4 @@
-"""The same shard in other zones, as far as their summaries show."""
+"""The same shard in other zones, as known from their summaries."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class RemoteShards:
-    """Finds zones that have room for a request.
+    """Finds other zones with capacity for a request.
 
     Args:
-        shard: The shard here.
+        shard: The shard in this zone.
     """
 
     def __init__(self, shard: message.ShardKey) -> None:
@@ -19,15 +19,18 @@
         self._summaries: dict[str, summary.ShardSummary] = {}
 
     def set_summaries(self, summaries: Iterable[summary.ShardSummary]) -> None:
-        """Takes the newest summary of each zone."""
+        """Replaces the summaries with the newest one of each zone."""
         self._summaries = {found.shard.zone: found for found in summaries}
 
     def has_room(self, waiting: queue.QueuedRequest) -> bool:
-        """Returns whether some zone would keep a request."""
+        """Returns whether some zone would accept a request."""
         return bool(self._list_with_room(waiting))
 
     def pick(self, waiting: queue.QueuedRequest) -> summary.ShardSummary | None:
-        """Returns the zone with room where least waits, if there is one."""
+        """Returns the least loaded zone with capacity, or None.
+
+        The load is the cost of the zone's queued requests.
+        """
         with_room = self._list_with_room(waiting)
         return min(
             with_room, key=lambda found: sum(found.waiting), default=None
--- a/ramptray/core/request.py
+++ b/ramptray/core/request.py
@@ -1,8 +1,9 @@
-"""The state machine of one request, held by the entry that has its caller.
+"""The state machine of one request, held by the entry that serves its caller.
 
-All safety towards the caller lives here: whatever schedulers say, late, twice
-or in contradiction, the request is dispatched at most once, and ``not_run`` is
-said only in a state from which it can never be dispatched.
+It implements all guarantees to the caller.  Messages from schedulers may be
+late, duplicated or contradictory; still the request is dispatched at most once
+per attempt, and ``not_run`` is reported only in a state from which it can never
+be dispatched.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class State(enum.Enum):
-    """Where a request stands."""
+    """State of a request."""
 
     WAITING = "waiting"
     DISPATCHED = "dispatched"
@@ -23,7 +24,7 @@
 
 
 class Claim(enum.Enum):
-    """Whether the request may run as far as its idempotency key goes."""
+    """State of the claim on the request's idempotency key."""
 
     NOT_NEEDED = "not_needed"
     PENDING = "pending"
@@ -32,7 +33,7 @@
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """Effect: send the request's body to this backend server, once."""
+    """Effect: send the request to the granted backend server, once."""
 
     grant: message.Grant
 
@@ -45,7 +46,7 @@
 
 
 class Finish(msgspec.Struct, frozen=True):
-    """Effect: give the caller its final outcome."""
+    """Effect: report the final outcome to the caller."""
 
     outcome: message.Outcome
     reason: message.Reason | None = None
@@ -53,7 +54,7 @@
 
 
 class Release(msgspec.Struct, frozen=True):
-    """Effect: the claim on the idempotency key is no longer needed."""
+    """Effect: release the claim on the idempotency key."""
 
 
 class Cancel(msgspec.Struct, frozen=True):
@@ -66,9 +67,9 @@
 
 
 class RequestMachine:
-    """Decides what happens to one request; performs nothing itself.
+    """Decides what happens to one request, without performing any I/O.
 
-    Each method takes one event and returns the effects to perform, in order.
+    Each method handles one event and returns the effects to perform, in order.
     """
 
     def __init__(self, info: message.RequestInfo, needs_claim: bool) -> None:
@@ -83,13 +84,13 @@
 
     @property
     def backend(self) -> str | None:
-        """The backend server the request was dispatched to, if any."""
+        """The backend server that the request was dispatched to, if any."""
         dispatched = self.state is not State.WAITING and self._grant
         return self._grant.backend if dispatched and self._grant else None
 
     @property
     def grant(self) -> message.Grant | None:
-        """The grant that is held or in use."""
+        """The current grant, if any, whether or not it is in use yet."""
         return self._grant
 
     def assign(
@@ -99,7 +100,7 @@
 
         Args:
             owner: The scheduler that now owns the request's shard.
-            info: The request's facts with its deadline as of now.
+            info: The request's properties with its deadline as of now.
             elapsed_s: Seconds since the dispatch, if it was dispatched.
         """
         previous = self.owner
@@ -121,7 +122,7 @@
         return [*effects, SendToOwner(owner, message.Enqueue(info))]
 
     def receive_grant(self, grant: message.Grant) -> list[Effect]:
-        """Uses a grant if, and only if, the request still waits for one."""
+        """Uses a grant only if the request is still waiting for one."""
         decline = SendToOwner(
             grant.owner, message.Decline(grant.request_id, grant.grant_id)
         )
@@ -135,7 +136,7 @@
     def receive_reject(
         self, reject: message.Reject, owner: str
     ) -> list[Effect]:
-        """Ends a waiting request that its owner gave up."""
+        """Ends a waiting request that its owner rejected."""
         if self.state is not State.WAITING or owner != self.owner:
             return []
         return self._end_waiting(
@@ -145,11 +146,11 @@
     def decide_claim(
         self, held: bool, finish: Finish | None = None
     ) -> list[Effect]:
-        """Takes the decision of the log on the claim.
+        """Applies the decision of the log on the claim.
 
         Args:
             held: Whether this attempt holds the idempotency key.
-            finish: The outcome for the caller where it does not.
+            finish: The outcome for the caller if it does not.
         """
         if self.claim is not Claim.PENDING or self.state is not State.WAITING:
             return []
@@ -159,25 +160,25 @@
         self.claim = Claim.LOST
         self.state = State.ENDED
         final = finish or Finish(message.Outcome.NOT_RUN)
-        # Its claim may yet land, so the key is freed by a release.  Where the
-        # claim was read and did not hold, the release changes nothing.
+        # The claim may still be appended to the log, so the key is released.
+        # If the claim was read and lost, the release has no effect.
         return [*self._withdraw(), Release(), final]
 
     def fail_connect(self, refused: bool = True) -> list[Effect]:
-        """Returns to waiting: there is no connection, no byte was sent.
+        """Returns to waiting, as connecting failed and nothing was sent.
 
-        The message goes to the present owner, not to the one that granted.
+        The message goes to the current owner, not to the one that granted.
 
         Args:
             refused: Whether the backend server refused the connection; else
-                it did not answer, perhaps to this VM only.
+                it did not respond, perhaps only to this VM.
         """
         return self._return_grant(refused)
 
     def return_grant(self) -> list[Effect]:
-        """Returns to waiting: the backend server wants nothing from this VM.
+        """Returns to waiting, as the server accepts no requests from this VM.
 
-        That counts neither as an attempt nor as a failure of the server.
+        This counts neither as an attempt nor as a failure of the server.
         """
         return self._return_grant(unreachable=False)
 
@@ -205,16 +206,17 @@
         may_repeat: bool,
         finish: Finish,
     ) -> list[Effect]:
-        """Ends an attempt without an answer; another one may follow.
+        """Ends an attempt without a response; another one may follow.
 
-        Only a request that may run more than once, or one whose backend server
-        has said that it did not run, is ever sent to another.
+        A request is retried only if it may run more than once, or if the
+        backend server has reported that it did not run.
 
         Args:
-            ended: Sent to the owner.
-            not_run: Whether the backend server has said that it did not run.
+            ended: The message to the owner.
+            not_run: Whether the backend server has reported that the request
+                did not run.
             may_repeat: Whether time and the retry budget allow another attempt.
-            finish: The outcome for the caller where no attempt follows.
+            finish: The outcome for the caller if no attempt follows.
         """
         if self.state is not State.DISPATCHED or self._grant is None:
             return []
@@ -245,11 +247,11 @@
         ]
 
     def complete(self, ended: message.Ended) -> list[Effect]:
-        """Ends a dispatched request whose whole answer has arrived."""
+        """Ends a dispatched request whose response is complete."""
         return self._end_dispatched(Finish(message.Outcome.COMPLETE), ended)
 
     def end_refused(self, ended: message.Ended) -> list[Effect]:
-        """Ends a request that its backend server says it did not admit."""
+        """Ends a request that its backend server reports as not admitted."""
         finish = Finish(
             message.Outcome.NOT_RUN, message.Reason.BACKEND_REFUSED, 1.0
         )
@@ -261,13 +263,13 @@
     def end_unknown(
         self, reason: message.Reason, ended: message.Ended
     ) -> list[Effect]:
-        """Ends a dispatched request whose answer cannot be had any more."""
+        """Ends a dispatched request whose response is lost."""
         return self._end_dispatched(
             Finish(message.Outcome.UNKNOWN, reason), ended
         )
 
     def cancel(self, ended: message.Ended) -> list[Effect]:
-        """Ends the request because its caller has gone."""
+        """Ends the request because its caller has disconnected."""
         if self.state is State.WAITING:
             return self._end_waiting(message.Reason.CALLER_GONE, 0.0)
         if self.state is not State.DISPATCHED or self._grant is None:
@@ -279,7 +281,7 @@
     def reject(
         self, reason: message.Reason, retry_after_s: float
     ) -> list[Effect]:
-        """Ends a waiting request for the entry's own reasons."""
+        """Ends a waiting request on the entry's own decision."""
         if self.state is not State.WAITING:
             return []
         return self._end_waiting(reason, retry_after_s)
--- a/ramptray/core/retry.py
+++ b/ramptray/core/retry.py
@@ -1,4 +1,4 @@
-"""How many requests may be sent to a further backend server."""
+"""Retry budgets: how many requests may be sent to another backend server."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class BudgetRules(msgspec.Struct, frozen=True):
-    """The budget of one VM for one service.
+    """The retry budget of one VM for one service.
 
     Attributes:
-        ratio: Further attempts for each request of the window.
-        extra: Further attempts in a window beyond that.
-        window_s: The window's length in seconds.
+        ratio: Retries per request in the window.
+        extra: Additional retries per window.
+        window_s: Length of the window in seconds.
     """
 
     ratio: float = 0.1
@@ -24,10 +24,10 @@
 
 
 class RetryBudget:
-    """Counts requests and further attempts of each service over a window.
+    """Counts requests and retries of each service over a sliding window.
 
-    Each VM keeps to its own part, so the sum over all VMs holds without a word
-    between them, also across a cut.
+    Each VM enforces its own budget, so the total over all VMs holds without
+    communication, also during a network partition.
     """
 
     def __init__(self, rules: BudgetRules | None = None) -> None:
@@ -44,13 +44,13 @@
         self._requests[service].add(1, now)
 
     def has_attempts_left(self, service: str, now: float) -> bool:
-        """Returns whether the budget has a further attempt left."""
+        """Returns whether the budget allows another retry."""
         requests = self._requests[service].get_sum(now)
         allowed = self.rules.extra + self.rules.ratio * requests
         return self._retries[service].get_sum(now) + 1 <= allowed
 
     def try_take(self, service: str, now: float) -> bool:
-        """Takes one further attempt, if the budget has any left."""
+        """Takes one retry from the budget and returns whether it allowed it."""
         if not self.has_attempts_left(service, now):
             return False
         self._retries[service].add(1, now)
--- a/ramptray/core/rules.py
+++ b/ramptray/core/rules.py
@@ -1,4 +1,4 @@
-"""What the bundle says about a shard."""
+"""The configuration of a shard."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class ShardRules(msgspec.Struct, frozen=True):
-    """What the bundle says about a shard.
+    """The configuration of a shard, taken from the bundle.
 
     Attributes:
         ranks: Rank of each tier by name; 0 is the highest.
-        queue_cost: Cost that may wait, as ``queue.compute_cost`` counts it.
-        headroom: Part of each engine's places kept for the highest tier.
+        queue_cost: Capacity of the queue, as a cost by ``queue.compute_cost``.
+        headroom: Part of each engine's slots reserved for the highest tier.
         shares: Weight of each customer within a tier.
-        limits: Rates of each customer in this zone.
+        limits: Rate limits of each customer in this zone.
         version: The model version to serve, as ``service@version``.
     """
 
--- a/ramptray/core/shard.py
+++ b/ramptray/core/shard.py
@@ -1,7 +1,7 @@
-"""The owner of one shard: queue, grants, sheds and the view of its engines.
+"""The owner of one shard: its queue, grants, load shedding and engine state.
 
-The owner keeps soft state only.  A successor rebuilds it from the entries, and
-two owners at once cost efficiency but no promise.
+The owner keeps soft state only.  A new owner rebuilds it from the entries.
+Two owners at the same time cost efficiency but violate no guarantee to callers.
 """
 
 from __future__ import annotations
@@ -32,17 +32,17 @@
 from ramptray.core import rules as shard_rules
 
 REPORT_GRACE_S = 1.0
-"""How long a new owner waits for a server's first report, in seconds."""
+"""Seconds that a new owner waits for a server's first load report."""
 
 
 class ShardOwner:
-    """Decides who goes next, and where, for one shard.
+    """Schedules the requests of one shard on its backend servers.
 
     Attributes:
         shard: The shard.
-        counters: What the shard has done.
+        counters: Numbers of decisions since this owner took over.
         fleet: Its backend servers.
-        releases: Which releases may get requests.
+        releases: Restricts requests to releases during a rollout.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
     def configure(
         self, rules: shard_rules.ShardRules, infos: list[backends.BackendInfo]
     ) -> None:
-        """Takes the rules and backend servers of the bundle in force."""
+        """Applies the rules and backend servers of the bundle in force."""
         self._rules = rules
         self._granter.rules = rules
         self._shedder.queue_cost = rules.queue_cost
@@ -115,14 +115,14 @@
             sorted(infos, key=self._order.get_key), rules.version
         )
 
-    def correct_load(
+    def apply_load_report(
         self,
         name: str,
         running: int,
         versions: tuple[str, ...] = (),
         step_s: float = 0.0,
     ) -> None:
-        """Takes an engine's lagging load report."""
+        """Applies an engine's load report, which lags behind its state."""
         self.fleet.correct_load(
             name, running, versions, step_s, self._rules.version
         )
@@ -130,7 +130,7 @@
     def set_remote_summaries(
         self, summaries: list[summary.ShardSummary]
     ) -> None:
-        """Takes the summaries of the same shard in other zones."""
+        """Replaces the summaries of the same shard in other zones."""
         self._remote.set_summaries(summaries)
         self._limits.borrow(found.uses for found in summaries)
 
@@ -139,7 +139,7 @@
 
         Args:
             now: The owner's clock in seconds.
-            version: Larger than that of every earlier summary.
+            version: Must be larger than that of every earlier summary.
         """
         limited = (
             self._wait_estimator.get_rate_limit(now) is not None
@@ -157,35 +157,35 @@
         )
 
     def holds(self, request_id: str) -> bool:
-        """Returns whether a request waits or runs here."""
+        """Returns whether a request is queued or running here."""
         return request_id in self._queue or request_id in self.fleet
 
     def is_waiting(self, request_id: str) -> bool:
-        """Returns whether a request waits here."""
+        """Returns whether a request is queued here."""
         return request_id in self._queue
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing waits and nothing runs."""
+        """Whether no request is queued or running."""
         return not self._queue and self.fleet.is_empty
 
     @property
     def waiting_count(self) -> int:
-        """How many requests wait."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def list_waiting(self) -> list[int]:
-        """Returns the number of waiting requests of each tier."""
+        """Returns the number of queued requests of each tier."""
         return [tier.count for tier in self._queue.tiers]
 
     def list_shed(self, now: float) -> dict[str, int]:
-        """Returns how many requests of each tier were refused lately."""
+        """Returns the number of recently refused requests of each tier."""
         return self._shedder.list_shed(now)
 
     def receive(
         self, entry: str, received: message.EntryMessage, now: float
     ) -> list[owner_effect.SendToEntry]:
-        """Takes one message from an entry and returns what to send."""
+        """Handles a message from an entry and returns the messages to send."""
         match received:
             case message.Enqueue(request):
                 return self._enqueue(entry, request, now)
@@ -217,29 +217,29 @@
     def grant(
         self, now: float, only: list[backends.Backend] | None = None
     ) -> list[owner_effect.SendToEntry]:
-        """Grants as much as fits, see ``granting.Granter.grant``."""
+        """Grants as many requests as fit; see ``granting.Granter.grant``."""
         return self._granter.grant(now, only)
 
     def refuse_waiting(
         self, content: str, left_s: float
     ) -> list[owner_effect.SendToEntry]:
-        """Refuses what waits with a content that is blocked from now on."""
+        """Refuses the queued requests with a newly blocked content."""
         return self._shedder.refuse_content(content, left_s)
 
     def begin_sync(self, entry: str) -> None:
-        """Begins the resynchronization of an entry that has attached."""
+        """Begins to resynchronize an entry that has attached."""
         self._syncing[entry] = self.fleet.list_of_entry(entry)
         self._queue.discard_entry(entry)
 
     def detach_entry(self, entry: str, now: float) -> None:
-        """Drops what an entry had waiting; what runs keeps its place."""
+        """Drops an entry's queued requests; running ones keep their slots."""
         self._syncing.pop(entry, None)
         self._entries.discard(entry)
         self._queue.discard_entry(entry)
         self.fleet.lose_entry(entry, now)
 
     def tick(self, now: float) -> list[owner_effect.SendToEntry]:
-        """Gives up what is past its deadline and frees lost places."""
+        """Refuses requests past their deadline and frees orphaned slots."""
         out = self._shedder.refuse_expired(now)
         self.fleet.refresh(now, self._limits.server_part)
         self._granter.demote_late(now)
@@ -254,12 +254,12 @@
         self._entries.add(entry)
         request_id = request.request_id
         if request_id in self._syncing.get(entry, set()):
-            # Its grant was lost when the entry's link broke.
+            # The grant was lost with the entry's connection.
             self._syncing[entry].discard(request_id)
             self.fleet.free(request_id)
         placed = self.fleet.get_placed(request_id)
         if placed and placed.request.attempt < request.attempt:
-            # The end message of the previous attempt was lost.
+            # The Ended message of the previous attempt was lost.
             self.fleet.free(request_id)
         if self.holds(request_id):
             return []
@@ -275,7 +275,7 @@
         return [*granted, *paused, *self._shedder.make_room(waiting, now)]
 
     def list_waiting_entries(self) -> dict[str, int]:
-        """Returns how many requests of each entry wait."""
+        """Returns the number of queued requests of each entry."""
         return collections.Counter(w.entry for w in self._queue.list_all())
 
     def _handle_running(
@@ -285,7 +285,8 @@
         self._queue.discard(request_id)
         backend = self.fleet.backends.get(running.backend)
         if backend is None or backend.info.run != running.run:
-            # Requests of another run have ended, or the run is not known yet.
+            # Either the server has restarted, which ended its requests, or this
+            # run of it is not known here yet.
             return
         if placed := self.fleet.get_placed(request_id):
             placed.orphaned_at = None
@@ -297,12 +298,12 @@
     def _handle_decline(
         self, entry: str, decline: message.Decline, now: float
     ) -> list[owner_effect.SendToEntry]:
-        """Frees the place of a declined grant; the request waits again."""
+        """Frees the slot of a declined grant and requeues the request."""
         request_id = decline.request_id
         backend = self.fleet.find(request_id)
         if backend is None:
             return []
-        # A request that an entry reported as running has no grant of ours.
+        # A request that an entry reported as running has no grant ID here.
         known = backend.placed[request_id].grant_id
         if known not in ("", decline.grant_id):
             return []
@@ -323,11 +324,11 @@
     def _handle_ended(
         self, ended: message.Ended, now: float
     ) -> list[backends.Backend]:
-        """Returns the backend server that has got room, if any."""
+        """Returns the backend server on which a slot became free, if any."""
         if ended.request_id not in self.fleet:
             self._queue.discard(ended.request_id)
             return []
-        self.releases.record_answer(ended)
+        self.releases.record_response(ended)
         backend = self.fleet.end(ended, now)
         return [backend] if backend else []
 
@@ -341,20 +342,20 @@
 
 
 class _ServerOrder:
-    """This owner's own order of equal backend servers.
+    """Orders backend servers of equal rank differently for each owner.
 
-    Load pattern: all VMs start at once, and each owns everything until it has
-    found the others.  In one order for all they would fill the same few backend
+    When all VMs start at once, each one owns every shard until it has found the
+    others.  With a common order they would all fill the same few backend
     servers first.
     """
 
     def __init__(self, address: str) -> None:
         self._address = address
-        # Each configuration orders thousands of servers anew.
+        # Cached, as each new configuration sorts thousands of servers.
         self._keys: dict[str, int] = {}
 
     def get_key(self, info: backends.BackendInfo) -> int:
-        """Returns a backend server's place in the order."""
+        """Returns the sort key of a backend server."""
         if info.name not in self._keys:
             key = f"{self._address}/{info.name}".encode()
             self._keys[info.name] = xxhash.xxh3_64_intdigest(key)
--- a/ramptray/core/shedding.py
+++ b/ramptray/core/shedding.py
@@ -1,4 +1,4 @@
-"""Refusing waiting requests, or sending them to zones with room."""
+"""Load shedding: refuses queued requests or redirects them to other zones."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 )
 
 SHED_WINDOW_S = 60.0
-"""Span over which refusals are counted for operators, in seconds."""
+"""Window of the refusal counts shown to operators, in seconds."""
 
 STARTUP_GRACE_S = 3.0
-"""How long a new owner waits for the summaries of other zones, in seconds."""
+"""Seconds that a new owner waits for the summaries of other zones."""
 
 MIN_RETRY_AFTER_S = 0.5
 """Shortest Retry-After, in seconds."""
 
 UNREACHABLE_RETRY_AFTER_S = 1.0
-"""Shortest Retry-After where no backend server is in reach, in seconds: by then
-the balancer may send the caller to a VM that is better placed."""
+"""Shortest Retry-After if no backend server is reachable, in seconds.  By then
+the load balancer may route the caller to a VM that can reach one."""
 
 MAX_RETRY_AFTER_S = 30.0
 """Longest Retry-After, in seconds."""
 
 
 class Counters(msgspec.Struct):
-    """What the shard has done since its owner took over."""
+    """Numbers of decisions since the shard's owner took over."""
 
     enqueued: int = 0
     granted: int = 0
@@ -45,20 +45,20 @@
 
 
 class Shedder:
-    """Takes requests out of a shard's queue that are not to wait there.
+    """Removes requests from a shard's queue that must not stay there.
 
     Args:
         shard_queue: The queue.
         servers: The shard's backend servers.
         limits: The customers' limits.
-        estimator: Estimates of waiting.
+        estimator: Estimates waiting times.
         remotes: The same shard in other zones.
-        entries: The entries that ask here.
+        entries: The entries that send requests to this owner.
         started_at: When the owner took over, on its clock in seconds.
 
     Attributes:
-        counters: What the shard has done.
-        queue_cost: Cost that may wait.
+        counters: Numbers of decisions since the owner took over.
+        queue_cost: Capacity of the queue, as a cost.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self._shed: dict[str, meter.RateMeter] = {}
 
     def list_shed(self, now: float) -> dict[str, int]:
-        """Returns how many requests of each tier were refused lately."""
+        """Returns the number of recently refused requests of each tier."""
         return {tier: shed.get_sum(now) for tier, shed in self._shed.items()}
 
     def admit(
@@ -91,11 +91,11 @@
     ) -> owner_effect.SendToEntry | None:
         """Counts a request against its customer's limit.
 
-        A request that was admitted before, here or elsewhere, is not counted
-        again.
+        A request that has already been admitted, here or in another zone, is
+        not counted again.
 
         Returns:
-            The refusal of one that is over the limit, else None.
+            The refusal if the request exceeds the limit, else None.
         """
         request = waiting.request
         if request.spilled_from or request.attempt:
@@ -111,7 +111,7 @@
     def refuse_content(
         self, content: str, left_s: float
     ) -> list[owner_effect.SendToEntry]:
-        """Refuses what waits with a content that is blocked from now on."""
+        """Refuses the queued requests with a newly blocked content."""
         found = [
             waiting
             for waiting in self._queue.list_all()
@@ -125,19 +125,19 @@
         ]
 
     def refuse_expired(self, now: float) -> list[owner_effect.SendToEntry]:
-        """Refuses the requests that may not wait any longer."""
+        """Refuses the requests past their deadline or refusal time."""
         return [
             self._refuse(waiting, _get_expiry_reason(waiting, now), now)
             for waiting in self._queue.list_expired(now)
         ]
 
     def refuse_late(self, now: float) -> list[owner_effect.SendToEntry]:
-        """Refuses late requests at once while others wait in time.
+        """Refuses late requests while requests that are not late are queued.
 
-        Load pattern: more is asked than the engines can do for some seconds.
-        Late requests then wait in vain behind those that may be in time, and
-        are refused in the end; sooner, their callers lose less.  What has run
-        before is not refused: it may go on somewhere.
+        During an overload of some seconds, late requests would wait behind
+        those that can still meet their objective, and be refused in the end.
+        An early refusal costs their callers less time.  A request that has
+        already been attempted is not refused, as it may be resumed elsewhere.
         """
         return [
             self._refuse(waiting, message.Reason.OVERLOADED, now)
@@ -148,9 +148,9 @@
     def refuse_unreachable(
         self, waiting: queue.QueuedRequest, now: float
     ) -> list[owner_effect.SendToEntry]:
-        """Gives up a request whose entry can reach no backend server.
+        """Redirects or refuses a request whose entry can reach no server.
 
-        Its caller may come back to another VM.
+        Its caller may retry at another VM.
         """
         if not self._fleet.eligibility.is_out_of_reach(waiting.request):
             return []
@@ -161,9 +161,9 @@
     def refuse_paused(
         self, candidates: Iterable[queue.QueuedRequest], now: float
     ) -> list[owner_effect.SendToEntry]:
-        """Turns away what every server wants to wait for longer than it may.
+        """Redirects or refuses requests that cannot wait for a pause to end.
 
-        Load pattern: all servers of a service turn requests away and ask the
+        This applies when all servers of a service refuse requests and ask the
         same VM for a pause.
         """
         return [
@@ -177,7 +177,7 @@
     def make_room(
         self, newest: queue.QueuedRequest, now: float
     ) -> list[owner_effect.SendToEntry]:
-        """Turns away what the queue cannot hold after a request has come."""
+        """Redirects or refuses the excess after a request was queued."""
         out: list[owner_effect.SendToEntry] = []
         while self._queue.cost > self.queue_cost:
             victim = self._queue.pick_victim()
@@ -192,9 +192,10 @@
         return [*out, *self.spill_over(now)]
 
     def spill_over(self, now: float) -> list[owner_effect.SendToEntry]:
-        """Turns everything away while no backend server is left here.
+        """Redirects or refuses all requests if no backend server is usable.
 
-        A new owner first waits for the summaries of the other zones.
+        A new owner only redirects until it has had time to receive the
+        summaries of the other zones.
         """
         if self._fleet.has_usable:
             return []
@@ -211,8 +212,8 @@
     ) -> bool:
         """Returns whether a request cannot meet its deadline.
 
-        While a lower tier waits, a request is never refused early: it goes
-        before all of them as soon as any engine has room.
+        While requests of a lower tier are queued, a request is never refused
+        early: it goes before all of them as soon as any engine has a free slot.
         """
         if self._queue.has_lower(waiting.rank):
             return False
@@ -225,7 +226,7 @@
         now: float,
         reason: message.Reason = message.Reason.OVERLOADED,
     ) -> owner_effect.SendToEntry:
-        """Sends a request to a zone with room, or gives it up."""
+        """Redirects a request to a zone with capacity, or refuses it."""
         target = self._remote.pick(waiting)
         if target is None:
             return self._refuse(waiting, reason, now)
@@ -256,7 +257,7 @@
         if reason is message.Reason.NO_BACKEND:
             least_s = UNREACHABLE_RETRY_AFTER_S
         self._wait_estimator.count_refusal(waiting, now)
-        # In a pause of all entries the queue is served from its end on.
+        # During a pause of all entries, the queue is served after its end.
         pause_s = self._fleet.eligibility.get_pause_of_all(
             len(self._entries), now
         )
@@ -296,7 +297,7 @@
 
 
 def _get_limit_cost(waiting: queue.QueuedRequest) -> int:
-    """Returns what a request counts against its customer's limit."""
+    """Returns the tokens a request uses of its customer's limit."""
     counted = waiting.request.limit_tokens
     return waiting.cost if counted is None else counted
 
@@ -304,7 +305,7 @@
 def _get_expiry_reason(
     waiting: queue.QueuedRequest, now: float
 ) -> message.Reason:
-    """Returns why a request does not wait any longer."""
+    """Returns the reason for refusing an expired request."""
     if waiting.deadline <= now:
         return message.Reason.DEADLINE
     return message.Reason.OVERLOADED
--- a/ramptray/core/summary.py
+++ b/ramptray/core/summary.py
@@ -1,4 +1,4 @@
-"""What zones tell one another of their shards."""
+"""Summaries of shards that zones exchange."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class ShardSummary(msgspec.Struct, frozen=True):
-    """What other zones need to know of a shard, to send requests there.
+    """State of a shard that other zones need to redirect requests to it.
 
     Attributes:
         shard: The shard.
         owner: The address of the scheduler that owns it.
-        limit: Cost that may wait, as ``queue.compute_cost`` counts it.
-        waiting: Cost that waits, by tier, highest tier first.
-        has_backend: Whether any backend server is left.
-        version: Wall clock value when it was made; the newest counts.
-        uses: Use of customers' limits that other zones may want to know.
+        limit: Capacity of the queue, as a cost by ``queue.compute_cost``.
+        waiting: Cost of the queued requests by tier, highest tier first.
+        has_backend: Whether any backend server is usable.
+        version: Wall clock value when it was made; the newest one applies.
+        uses: Customers' use of their limits, if relevant to other zones.
     """
 
     shard: message.ShardKey
@@ -29,6 +29,6 @@
     uses: dict[str, float] = msgspec.field(default_factory=dict)
 
     def has_room(self, rank: int, cost: int) -> bool:
-        """Returns whether a request of this tier would be kept there."""
+        """Returns whether a request of this tier would be accepted there."""
         ahead = sum(self.waiting[: rank + 1])
         return self.has_backend and ahead + cost <= self.limit
--- a/ramptray/core/wait_estimator.py
+++ b/ramptray/core/wait_estimator.py
@@ -1,20 +1,23 @@
-"""How fast a shard's queue is served, for estimates of waiting."""
+"""Estimates of waiting times in a shard's queue."""
 
 from __future__ import annotations
 
 from ramptray.core import fleet, limit, meter, queue
 
 WINDOW_S = 5.0
-"""Span over which grants and refusals are counted, in seconds."""
+"""Window over which grants and refusals are counted, in seconds."""
 
 
 class WaitEstimator:
-    """Measures the rate of grants; a rate limit of all servers goes before it.
+    """Estimates waiting times from the rate of grants.
+
+    If all backend servers have announced a rate limit, their total is used
+    instead.
 
     Args:
         shard_queue: The shard's queue.
         servers: Its backend servers.
-        limits: The part of each limit that this owner hands out.
+        limits: The rate limits, of which this owner hands out a part.
     """
 
     def __init__(
@@ -31,20 +34,24 @@
         self._refused_count = meter.RateMeter(WINDOW_S)
 
     def count_grant(self, waiting: queue.QueuedRequest, now: float) -> None:
-        """Counts a request that was granted."""
+        """Counts a granted request."""
         self._granted.add(waiting.cost, now)
 
     def count_refusal(self, waiting: queue.QueuedRequest, now: float) -> None:
-        """Counts a request that was refused."""
+        """Counts a refused request."""
         self._refused.add(waiting.cost, now)
         self._refused_count.add(1, now)
 
     def get_rate_limit(self, now: float) -> float | None:
-        """Returns the requests a second that this owner may send in all."""
+        """Returns the total requests a second that this owner may send.
+
+        Returns:
+            The rate; None if it is not limited.
+        """
         return self._fleet.get_rate_limit(now, self._limits.server_part)
 
     def estimate_wait(self, waiting: queue.QueuedRequest, now: float) -> float:
-        """Returns the seconds that the requests before one take."""
+        """Returns the seconds until the requests before one are served."""
         if rate_per_s := self.get_rate_limit(now):
             return self._queue.get_count_ahead(waiting) / rate_per_s
         rate = self._granted.get_rate(now)
@@ -53,11 +60,11 @@
     def estimate_retry_after(
         self, waiting: queue.QueuedRequest, now: float
     ) -> float:
-        """Returns the seconds until a refused request may be served.
+        """Returns the seconds after which a refused request should be retried.
 
-        Load pattern: many are refused within a few seconds and come back.
-        With the same short time they would meet each other again, so each gets
-        the time in which all that were refused lately can be served.
+        When many requests are refused within a few seconds, the same short time
+        for all would make their retries collide.  So each one gets the time in
+        which all recently refused requests can be served.
         """
         if rate_per_s := self.get_rate_limit(now):
             ahead = self._queue.get_count_ahead(waiting)
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -524,7 +524,7 @@
                 owner.fleet.note_silence(name)
             return
         for owner in self.shards.values():
-            owner.correct_load(
+            owner.apply_load_report(
                 name,
                 report.running + report.waiting,
                 report.versions,
--- a/ramptray/scheduler/rollouts.py
+++ b/ramptray/scheduler/rollouts.py
@@ -99,7 +99,7 @@
         by the owner only: who stands in sees a part of what runs.
         """
         if is_owned:
-            owner.releases.decide(now)
+            owner.releases.advance(now)
         self._publish_verdict(owner)
 
     def _publish_verdict(self, owner: shard.ShardOwner) -> None:
--- a/test/test_rollout.py
+++ b/test/test_rollout.py
@@ -167,7 +167,7 @@
     release = granted[0].backend[:2]
     ended = message.Ended(f"r{number}", 0, 0.0, True, failed=release == fails)
     owner.receive("e", ended, now + 0.01)
-    owner.releases.decide(now + 0.01)
+    owner.releases.advance(now + 0.01)
     return release
 
 
--- a/test/test_shard.py
+++ b/test/test_shard.py
@@ -179,7 +179,7 @@
 
     @rule(running=st.integers(0, 6), name=st.sampled_from(["e0", "e1"]))
     def report(self, running: int, name: str) -> None:
-        self.owner.correct_load(name, running)
+        self.owner.apply_load_report(name, running)
 
     @invariant()
     def books_are_balanced(self) -> None:
@@ -264,10 +264,10 @@
         1.0,
     )
     assert not owner.receive("entry", message.Enqueue(make_info("r")), 1.0)
-    owner.correct_load("e0", 0)
+    owner.apply_load_report("e0", 0)
     owner.fleet.set_state("e0", backend.BackendState.LEAVING)
     assert not owner.tick(1.1)
-    owner.correct_load("e1", 0)
+    owner.apply_load_report("e1", 0)
     granted = [effect.message for effect in owner.tick(1.2)]
     assert isinstance(granted[0], message.Grant)
     assert granted[0].backend == "e1"
