--- a/ramptray/core/granting.py
+++ b/ramptray/core/granting.py
@@ -133,7 +133,7 @@
         if not tier.count:
             return None
         self._demote_late_heads(tier, now)
-        window = self._selector.take_window() if only is None else only
+        window = self._selector.next_window() if only is None else only
         skipped: list[queue.QueuedRequest] = []
         for waiting in self._list_heads(tier, now):
             candidates = window
--- a/ramptray/core/shedding.py
+++ b/ramptray/core/shedding.py
@@ -152,7 +152,9 @@
 
         Its caller may retry at another VM.
         """
-        if not self._fleet.eligibility.is_out_of_reach(waiting.request):
+        if not self._fleet.eligibility.has_no_reachable_backend(
+            waiting.request
+        ):
             return []
         return [
             self._redirect_or_refuse(waiting, now, message.Reason.NO_BACKEND)
@@ -258,7 +260,7 @@
             least_s = UNREACHABLE_RETRY_AFTER_S
         self._wait_estimator.count_refusal(waiting, now)
         # During a pause of all entries, the queue is served after its end.
-        pause_s = self._fleet.eligibility.get_pause_of_all(
+        pause_s = self._fleet.eligibility.get_shortest_pause(
             len(self._entries), now
         )
         wait_s = max(
