--- a/ramptray/scheduler/distributor.py
+++ b/ramptray/scheduler/distributor.py
@@ -3,9 +3,9 @@
 Load pattern: hundreds of VMs need each change within one or two seconds.  If
 every VM read the log, each change would cost one call per VM and would transfer
 large values in full, even over the slowest link.  Instead a few VMs read the
-log (``core.tree``) and send changes on to the others as differences.  A VM that
-receives no updates for a while reads the log itself; the VMs of a zone start
-doing so one after the other.
+log (``core.distribution``) and send changes on to the others as differences.  A
+VM that receives no updates for a while reads the log itself; the VMs of a zone
+start doing so one after the other.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 import msgspec
 
 from ramptray import steadyclock
-from ramptray.core import membership, tree
+from ramptray.core import distribution, membership
 from ramptray.log import keyedstream
 from ramptray.log import mirror as mirrors
 from ramptray.log import reader as log_reader
@@ -141,7 +141,7 @@
         self._me = me
         self._client = client
         self._streams = {each.reader.stream: each for each in streams}
-        self._position: tree.Place | None = None
+        self._position: distribution.Position | None = None
         all_seeds = list(seeds)
         self._seeds = tuple(s for s in all_seeds if s != me.address)
         waits = first_start and me.address not in all_seeds and self._seeds
@@ -192,7 +192,9 @@
         """Recomputes this VM's position in the tree from the live VMs."""
         others = [m for m in members if m.vm != self._me.vm]
         # Without other members it may only not have discovered them yet.
-        position = tree.find_place(self._me, others) if others else None
+        position = (
+            distribution.find_position(self._me, others) if others else None
+        )
         if position == self._position:
             return
         self._position = position
@@ -259,7 +261,7 @@
 
     def _start_following(self, tasks: anyio.abc.TaskGroup) -> None:
         """Sets the sources by this VM's position and follows new ones."""
-        wanted = self._seeds[: tree.SOURCES]
+        wanted = self._seeds[: distribution.MAX_SOURCES]
         if self._position is not None:
             wanted = self._position.sources
         self._wanted_sources = frozenset(wanted)
--- a/ramptray/scheduler/rollouts.py
+++ b/ramptray/scheduler/rollouts.py
@@ -44,7 +44,7 @@
     def merge(self, found: Iterable[rollout.Verdict]) -> None:
         """Takes verdicts of this VM, of others, or of the log."""
         for verdict in found:
-            if not verdict.goes_before(self._verdicts.get(verdict.service)):
+            if not verdict.replaces(self._verdicts.get(verdict.service)):
                 continue
             self._verdicts[verdict.service] = verdict
             LOG.info("rollout", extra=msgspec.to_builtins(verdict))
@@ -99,14 +99,14 @@
         by the owner only: who stands in sees a part of what runs.
         """
         if is_owned:
-            owner.releases.decide(now)
+            owner.releases.advance(now)
         self._publish_verdict(owner)
 
     def _publish_verdict(self, owner: shard.ShardOwner) -> None:
         if owner.releases.rollout is None:
             return
-        verdict = owner.releases.rollout.tell()
-        if verdict.goes_before(self.verdicts.get(verdict.service)):
+        verdict = owner.releases.rollout.make_verdict()
+        if verdict.replaces(self.verdicts.get(verdict.service)):
             self.verdicts.merge([verdict])
             self.on_verdict(verdict)
 
@@ -114,7 +114,7 @@
         for owner in self._list_owners():
             found = owner.releases.rollout
             if found and owner.shard.service == verdict.service:
-                found.learn(verdict)
+                found.apply_verdict(verdict)
 
 
 class VerdictWriter:
--- a/test/test_block_sync.py
+++ b/test/test_block_sync.py
@@ -54,7 +54,7 @@
         self.sync = block_sync.BlockSync(log, self.blocks, load_at_start)
 
     def knows(self, content: str) -> bool:
-        return self.blocks.get_left(content, steadyclock.read()) > 0
+        return self.blocks.get_remaining_s(content, steadyclock.read()) > 0
 
 
 @contextlib.asynccontextmanager
--- a/test/test_gossip.py
+++ b/test/test_gossip.py
@@ -84,7 +84,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     gossiper = make_gossiper(["b:1", "c:1"])
-    later = steadyclock.read() + membership.FORGET_S
+    later = steadyclock.read() + membership.DEAD_RETENTION_S
     monkeypatch.setattr(steadyclock, "read", lambda: later)
     assert gossiper.get_limit_share() == 1.0
 
@@ -276,7 +276,7 @@
     others = [membership.Member(f"m{n}", "z", f"m{n}:1", 1) for n in range(40)]
     seed = membership.Member("b", "z", "b:1", 1)
     gossiper.membership.merge([*others, seed], steadyclock.read())
-    neighbours = {m.address for m in gossiper.membership.list_neighbours()}
+    neighbours = {m.address for m in gossiper.membership.list_probe_targets()}
 
     async def run() -> None:
         for _ in range(4 * gossip.OTHER_ZONE_PROBE_PERIODS):
