--- a/ramptray/scheduler/block_sync.py
+++ b/ramptray/scheduler/block_sync.py
@@ -59,10 +59,10 @@
         self._blocks = blocks
         self._load_at_start = load_at_start
         self._read_clock = read_clock
-        send, receive = anyio.create_memory_object_stream[blocklist.BlockNews](
-            MAX_PENDING_SAVES
-        )
-        self._send: memory.MemoryObjectSendStream[blocklist.BlockNews] = send
+        send, receive = anyio.create_memory_object_stream[
+            blocklist.BlockUpdate
+        ](MAX_PENDING_SAVES)
+        self._send: memory.MemoryObjectSendStream[blocklist.BlockUpdate] = send
         self._receive = receive
         self._reload_requested = anyio.Event()
         blocks.on_decision(self._enqueue)
@@ -93,9 +93,9 @@
 
     def save_all(self) -> None:
         """Saves all known blocks, as the log may have lost some."""
-        self._enqueue(self._blocks.list_news(steadyclock.read()))
+        self._enqueue(self._blocks.list_updates(steadyclock.read()))
 
-    def _enqueue(self, news: list[blocklist.BlockNews]) -> None:
+    def _enqueue(self, news: list[blocklist.BlockUpdate]) -> None:
         for each in news:
             try:
                 self._send.send_nowait(each)
@@ -123,7 +123,7 @@
     def _merge(self, found: list[blocklog.StoredBlock]) -> None:
         now = self._read_clock()
         news = [
-            blocklist.BlockNews(
+            blocklist.BlockUpdate(
                 stored.content,
                 stored.level,
                 min(stored.until_unix_s - now, blocklist.MAX_BLOCK_S),
@@ -132,10 +132,10 @@
             )
             for stored in found
         ]
-        new = self._blocks.take(news, steadyclock.read())
+        new = self._blocks.merge(news, steadyclock.read())
         LOG.info("blocks read", extra={"found": len(news), "new": len(new)})
 
-    async def _save(self, news: blocklist.BlockNews) -> None:
+    async def _save(self, news: blocklist.BlockUpdate) -> None:
         stored = blocklog.StoredBlock(
             news.content,
             news.level,
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -131,7 +131,7 @@
         self._periods = itertools.count(1)
         self._joining_until = now + JOIN_PERIOD_S
         self._quiet_probes = 0
-        self._count_seeds_until = now + membership.FORGET_S
+        self._count_seeds_until = now + membership.DEAD_RETENTION_S
         self._probing_others = False
         self.verdicts = rollouts.VerdictStore()
         self._rtt = rtt.RttEstimator(
@@ -156,12 +156,12 @@
                     tasks.start_soon(self._probe, address)
 
     def _pick_probe_targets(self, count: int) -> list[str]:
-        others = [m.address for m in self.membership.list_neighbours()]
+        others = [m.address for m in self.membership.list_probe_targets()]
         return self._rng.sample(others, min(count, len(others)))
 
     async def _run_periods(self) -> None:
         while True:
-            period_s = membership.PERIOD_S
+            period_s = membership.PROBE_INTERVAL_S
             if self._is_joining():
                 period_s = JOIN_PROBE_INTERVAL_S
             await anyio.sleep(period_s * self._rng.uniform(0.8, 1.2))
@@ -298,7 +298,7 @@
 
     async def _run_period(self) -> None:
         self.membership.tick(steadyclock.read())
-        target = self.membership.pick_target()
+        target = self.membership.pick_probe_target()
         addresses = [target.address] if target else []
         if not target and self._seeds:
             addresses.append(self._rng.choice(self._seeds))
@@ -362,9 +362,9 @@
         now = steadyclock.read()
         self._merge(answer, now)
         if answer.page is not None:
-            self.membership.take_page(answer.page, now)
+            self.membership.apply_page(answer.page, now)
         elif answer.digest:
-            self.membership.compare(answer.digest)
+            self.membership.compare_digest(answer.digest)
         is_same = self.membership.version == known
         self._quiet_probes = self._quiet_probes + 1 if is_same else 0
 
