--- a/ramptray/core/availability.py
+++ b/ramptray/core/availability.py
@@ -55,7 +55,7 @@
         """Whether it counts as lost, so that no request waits for it."""
         return self.failures >= LOST_AFTER_FAILURES
 
-    def note_unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Ejects the server after a refused connection, with backoff.
 
         Connections refused during an ejection do not count again.
@@ -66,7 +66,7 @@
         self.failures += 1
         self.unreachable_until = now + pause
 
-    def note_end(
+    def record_end(
         self,
         refused: bool,
         broken: bool,
@@ -86,11 +86,11 @@
                 does not count towards an ejection.
         """
         if refused or whole:
-            self._note_refusal(refused, now)
+            self._update_refusal_rate(refused, now)
         if broken or (refused and not paused):
             self.breaks += 1
             if self.breaks >= EJECT_AFTER_BREAKS:
-                self.note_unreachable(now)
+                self.record_unreachable(now)
         elif whole:
             self.breaks = 0
 
@@ -101,7 +101,7 @@
         age_s = now - self._refused_at
         return self._refused_part * math.exp(-age_s / REFUSAL_FORGET_S)
 
-    def _note_refusal(self, refused: bool, now: float) -> None:
+    def _update_refusal_rate(self, refused: bool, now: float) -> None:
         part = self.get_refusal_rate(now)
         self._refused_part = part + REFUSAL_WEIGHT * (refused - part)
         self._refused_at = now
--- a/ramptray/core/backend.py
+++ b/ramptray/core/backend.py
@@ -24,14 +24,14 @@
 """Prompt tokens that an engine prefills between two decode steps: the usual
 chunk size of engines with chunked prefill."""
 
-SLOWER_FACTOR = 1.5
+SLOWDOWN_FACTOR = 1.5
 """A reported time between tokens that exceeds the learned one by this factor
 replaces it immediately."""
 
 OVERDUE_GRACE_S = 0.2
 """Delay of a first token, in seconds, that does not count as a slow engine."""
 
-SAME_MOMENT_S = 0.05
+REORDER_WINDOW_S = 0.05
 """Requests granted within this many seconds of each other may arrive in another
 order, because their entries run in different availability zones."""
 
@@ -356,7 +356,7 @@
         self.pending[request.request_id] = placed
         self.held_tokens += placed.tokens
         self._pacer.record_send(now)
-        self.pauses.note_sent(entry, request.request_id, now)
+        self.pauses.record_sent(entry, request.request_id, now)
         self.cache.add(request.prefix, request.prefix_tokens)
         return placed
 
@@ -368,7 +368,9 @@
         that.  Earlier prompts count as prefilled even without a notice.
         """
         if running := self.placed.get(first.request_id):
-            self.pauses.note_answer(running.entry, first.request_id, now)
+            self.pauses.record_response_start(
+                running.entry, first.request_id, now
+            )
         placed = self.pending.get(first.request_id)
         if placed is None:
             return
@@ -409,7 +411,7 @@
         pause_s = (
             self.pauses.get_remaining_s(placed.entry, now) if placed else 0.0
         )
-        self.availability.note_end(
+        self.availability.record_end(
             ended.refused, ended.broken, ended.whole, now, pause_s > 0.0
         )
         decoded = ended.output_tokens - ended.first_tokens
@@ -422,7 +424,7 @@
             return None
         self.held_tokens -= placed.tokens
         self._finish_prefill(placed)
-        self.pauses.note_end(placed.entry, request_id)
+        self.pauses.record_end(placed.entry, request_id)
         return placed
 
     def apply_load_report(self, running: int, step_s: float = 0.0) -> None:
@@ -436,14 +438,14 @@
         reports, because a single report may still include requests that have
         ended.  A new owner has only one report and uses that.
         """
-        if step_s > SLOWER_FACTOR * self.step_s:
+        if step_s > SLOWDOWN_FACTOR * self.step_s:
             self.speed.own_step_s = step_s
         before = self.report_running
         steady = running if before is None else min(running, before)
         self.report_running = running
         self.foreign = max(0, steady - len(self.placed))
 
-    def forget_prompt(self, request_id: str) -> None:
+    def cancel_prefill(self, request_id: str) -> None:
         """Stops waiting for the first token of a lost entry's request."""
         if placed := self.placed.get(request_id):
             self._finish_prefill(placed)
@@ -452,7 +454,7 @@
         earlier = [
             other
             for other in self.pending.values()
-            if other.started < placed.started - SAME_MOMENT_S
+            if other.started < placed.started - REORDER_WINDOW_S
         ]
         for other in earlier:
             self._finish_prefill(other)
--- a/ramptray/core/eligibility.py
+++ b/ramptray/core/eligibility.py
@@ -22,7 +22,7 @@
         self._backends = known
         self._paused_until = 0.0
 
-    def note_pause(self, until: float) -> None:
+    def record_pause(self, until: float) -> None:
         """Records a pause that a server requested from an entry.
 
         Args:
@@ -40,7 +40,7 @@
         return [
             candidate
             for candidate in self.filter_reachable(candidates, waiting.request)
-            if candidate.pauses.allows(waiting.entry, now)
+            if candidate.pauses.may_send(waiting.entry, now)
         ]
 
     def filter_reachable(
@@ -76,7 +76,7 @@
             known for known in self._backends.values() if not known.is_lost
         ]
         return bool(usable) and not any(
-            known.pauses.allows(entry, now) for known in usable
+            known.pauses.may_send(entry, now) for known in usable
         )
 
     def get_pause(self, waiting: queue.QueuedRequest, now: float) -> float:
--- a/ramptray/core/fleet.py
+++ b/ramptray/core/fleet.py
@@ -155,8 +155,8 @@
             self._apply_to_backend(known, hints)
             if hints.pause_s > 0.0:
                 until = now + hints.pause_s
-                known.pauses.take(entry, until)
-                self.eligibility.note_pause(until)
+                known.pauses.add(entry, until)
+                self.eligibility.record_pause(until)
 
     def _apply_to_backend(
         self, known: backends.Backend, hints: message.ServerHints
@@ -324,9 +324,9 @@
     def mark_orphaned(self, entry: str, now: float) -> None:
         """Marks a lost entry's requests as orphaned; they keep their slots."""
         for known in self.backends.values():
-            known.pauses.forget(entry)
+            known.pauses.remove(entry)
         for request_id in self.list_requests_of_entry(entry):
-            self._backend_of[request_id].forget_prompt(request_id)
+            self._backend_of[request_id].cancel_prefill(request_id)
             placed = self._backend_of[request_id].placed[request_id]
             if placed.orphaned_at is None:
                 placed.orphaned_at = now
--- a/ramptray/core/granting.py
+++ b/ramptray/core/granting.py
@@ -157,7 +157,8 @@
         while late := [
             waiting
             for waiting in self._list_heads(tier, now)
-            if not waiting.is_late and self._selector.is_too_late(waiting, now)
+            if not waiting.is_late
+            and self._selector.cannot_meet_objective(waiting, now)
         ]:
             for waiting in late:
                 self._queue.demote(waiting)
@@ -220,7 +221,9 @@
         ):
             if waiting.is_late:
                 continue
-            if self._selector.is_too_late(waiting, now, ahead * pause_s):
+            if self._selector.cannot_meet_objective(
+                waiting, now, ahead * pause_s
+            ):
                 self._queue.demote(waiting)
             else:
                 ahead += 1
--- a/ramptray/core/pauses.py
+++ b/ramptray/core/pauses.py
@@ -17,7 +17,7 @@
         self._until: dict[str, float] = {}
         self._trials: dict[str, str] = {}
 
-    def take(self, entry: str, until: float) -> None:
+    def add(self, entry: str, until: float) -> None:
         """Adds a pause; overlapping pauses end with the latest.
 
         Args:
@@ -32,19 +32,21 @@
             return 0.0
         return max(0.0, self._until.get(entry, now) - now)
 
-    def allows(self, entry: str, now: float) -> bool:
+    def may_send(self, entry: str, now: float) -> bool:
         """Returns whether an entry may send another request now."""
         if not self._until or entry not in self._until:
             return True
         return self._until[entry] <= now and entry not in self._trials
 
-    def note_sent(self, entry: str, request_id: str, sent_at: float) -> None:
+    def record_sent(self, entry: str, request_id: str, sent_at: float) -> None:
         """Records a sent request; the first one after a pause is a trial."""
         until = self._until.get(entry)
         if until is not None and until <= sent_at:
             self._trials.setdefault(entry, request_id)
 
-    def note_answer(self, entry: str, request_id: str, now: float) -> None:
+    def record_response_start(
+        self, entry: str, request_id: str, now: float
+    ) -> None:
         """Records the start of a response, with which a trial succeeds.
 
         A pause requested during the trial stays in force.
@@ -55,12 +57,12 @@
         if self._until[entry] <= now:
             del self._until[entry]
 
-    def note_end(self, entry: str, request_id: str) -> None:
+    def record_end(self, entry: str, request_id: str) -> None:
         """Records the end of a request, which also ends its trial."""
         if self._trials.get(entry) == request_id:
             del self._trials[entry]
 
-    def forget(self, entry: str) -> None:
+    def remove(self, entry: str) -> None:
         """Removes the pause and the trial of an entry."""
         self._until.pop(entry, None)
         self._trials.pop(entry, None)
--- a/ramptray/core/selector.py
+++ b/ramptray/core/selector.py
@@ -86,7 +86,7 @@
             self._exclude_reserved(usable, ahead, now),
         )
 
-    def is_too_late(
+    def cannot_meet_objective(
         self, waiting: queue.QueuedRequest, now: float, wait_s: float = 0.0
     ) -> bool:
         """Returns whether no server can meet the latency objective any more.
--- a/ramptray/core/shard.py
+++ b/ramptray/core/shard.py
@@ -315,7 +315,7 @@
         if placed is None or not (decline.waits or failed):
             return []
         if decline.unreachable:
-            backend.availability.note_unreachable(now)
+            backend.availability.record_unreachable(now)
         request = msgspec.structs.replace(
             placed.request, avoid=decline.avoid, silent=decline.silent
         )
--- a/test/test_replicas.py
+++ b/test/test_replicas.py
@@ -165,7 +165,7 @@
     owner.receive("e", message.Enqueue(make_request("q2")), 3.0)
     known = owner.fleet.backends["i"]
     assert known.speed.is_learned and known.placed
-    known.availability.note_unreachable(3.0)
+    known.availability.record_unreachable(3.0)
     tell(book, ("i", make_record(born=SECOND, seq=0)), now=4.0)
     configure(owner, book)
     known = owner.fleet.backends["i"]
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -285,7 +285,7 @@
     known = owner.fleet.backends["s0"]
     assert known.limit_per_s == 2.0
     assert known.pauses.get_remaining_s("entry", 1.0) == 2.0
-    assert known.pauses.allows("other", 1.0)
+    assert known.pauses.may_send("other", 1.0)
     assert len(book.list_hints(4.0)) == 1
 
 
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -118,7 +118,7 @@
         (out,) = decline(owner, out.message, now, "b0")
     assert isinstance(out.message, message.Grant)
     for known in owner.fleet.list_all():
-        known.availability.note_unreachable(2.0)
+        known.availability.record_unreachable(2.0)
     assert decline(owner, out.message, 2.05, "b0") == []
     (refused,) = owner.tick(2.1)
     assert isinstance(refused.message, message.Reject)
