--- a/ramptray/core/backend.py
+++ b/ramptray/core/backend.py
@@ -189,7 +189,7 @@
 
     @property
     def step_s(self) -> float:
-        """Time between two tokens of an answer, in seconds."""
+        """Time between two tokens of a response, in seconds."""
         return self.speed.step_s
 
     def assume_speed_of(self, others: Iterable[Backend]) -> None:
--- a/ramptray/core/eligibility.py
+++ b/ramptray/core/eligibility.py
@@ -51,7 +51,7 @@
         """Returns the candidates that its entry can reach in its regions.
 
         Servers that the request has tried are excluded, unless it has tried all
-        the reachable ones.
+        the reachable ones; servers outside its regions are always excluded.
         """
         if not (request.avoid or request.silent or request.regions is not None):
             return candidates
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -90,10 +90,10 @@
     owner: shard.ShardOwner, granted: message.Grant, now: float, *silent: str
 ) -> list[owner_effect.SendToEntry]:
     """Declines a grant because its backend server did not reply."""
-    told = message.Decline(
+    declined = message.Decline(
         granted.request_id, granted.grant_id, False, (), silent
     )
-    return owner.receive("entry", told, now)
+    return owner.receive("entry", declined, now)
 
 
 def test_a_request_is_not_granted_what_its_entry_cannot_reach() -> None:
@@ -128,18 +128,18 @@
     # Each response that makes long prompts seem faster than short ones halves
     # the time per prompt token.  Without a minimum it reached 0 after 1,043
     # responses, and to_message failed with "ZeroDivisionError: float division
-    # by zero"; three owners crashed so when connections stalled repeatedly.
+    # by zero"; it crashed three owners when connections stalled repeatedly.
     learned = speed.EngineSpeed(speed.LatencyLine())
     for number in range(20_000):
         if number % 2:
             learned.learn_first(100, 0.3)
         else:
             learned.learn_first(4000, 0.05)
-        told = learned.to_message()
-    assert told is not None
-    assert told.prefill_rate > 0
+        sent = learned.to_message()
+    assert sent is not None
+    assert sent.prefill_rate > 0
     # The line and the factor stay near the measured times.
-    assert 0.04 < told.fixed_s + 100 / told.prefill_rate < 0.4
+    assert 0.04 < sent.fixed_s + 100 / sent.prefill_rate < 0.4
 
 
 def test_every_sent_speed_can_be_applied() -> None:
@@ -147,10 +147,10 @@
     for _ in range(50):
         learned.learn_first(1, 60.0)
         learned.learn_first(2, 120.0)
-    told = learned.to_message()
-    assert told is not None
+    sent = learned.to_message()
+    assert sent is not None
     other = speed.EngineSpeed(speed.LatencyLine())
-    other.apply(told)
+    other.apply(sent)
     assert other.to_message() is not None
 
 
