--- a/ramptray/scheduler/block_sync.py
+++ b/ramptray/scheduler/block_sync.py
@@ -88,21 +88,21 @@
         self._reload_requested.set()
 
     async def _run_saves(self) -> None:
-        async for news in self._receive:
-            await self._save(news)
+        async for update in self._receive:
+            await self._save(update)
 
     def save_all(self) -> None:
         """Saves all known blocks, as the log may have lost some."""
         self._enqueue(self._blocks.list_updates(steadyclock.read()))
 
-    def _enqueue(self, news: list[blocklist.BlockUpdate]) -> None:
-        for each in news:
+    def _enqueue(self, updates: list[blocklist.BlockUpdate]) -> None:
+        for update in updates:
             try:
-                self._send.send_nowait(each)
+                self._send.send_nowait(update)
             except anyio.WouldBlock:
                 LOG.warning(
                     "block not saved: queue is full",
-                    extra={"content": each.content},
+                    extra={"content": update.content},
                 )
 
     async def _load(self, attempts: int = MAX_ATTEMPTS) -> None:
@@ -122,7 +122,7 @@
 
     def _merge(self, found: list[blocklog.StoredBlock]) -> None:
         now = self._read_clock()
-        news = [
+        updates = [
             blocklist.BlockUpdate(
                 stored.content,
                 stored.level,
@@ -132,16 +132,16 @@
             )
             for stored in found
         ]
-        new = self._blocks.merge(news, steadyclock.read())
-        LOG.info("blocks read", extra={"found": len(news), "new": len(new)})
+        new = self._blocks.merge(updates, steadyclock.read())
+        LOG.info("blocks read", extra={"found": len(updates), "new": len(new)})
 
-    async def _save(self, news: blocklist.BlockUpdate) -> None:
+    async def _save(self, update: blocklist.BlockUpdate) -> None:
         stored = blocklog.StoredBlock(
-            news.content,
-            news.level,
-            self._read_clock() + news.left_s,
-            news.crashes,
-            news.lifted,
+            update.content,
+            update.level,
+            self._read_clock() + update.left_s,
+            update.crashes,
+            update.lifted,
         )
         backoff_s = INITIAL_BACKOFF_S
         for _ in range(MAX_ATTEMPTS):
@@ -150,14 +150,14 @@
             except log_error.LogError as error:
                 LOG.warning(
                     "could not save block",
-                    extra={"content": news.content, "detail": str(error)},
+                    extra={"content": update.content, "detail": str(error)},
                 )
                 await anyio.sleep(backoff_s)
                 backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
                 continue
-            LOG.info("block kept", extra={"content": news.content})
+            LOG.info("block kept", extra={"content": update.content})
             return
         LOG.error(
             "block not saved: all attempts failed",
-            extra={"content": news.content},
+            extra={"content": update.content},
         )
--- a/ramptray/scheduler/follower.py
+++ b/ramptray/scheduler/follower.py
@@ -43,12 +43,12 @@
 
     Args:
         log: The platform's log.
-        owner: Applies the pages that are read.
+        follower: Applies the pages that are read.
     """
 
-    def __init__(self, log: log_client.Log, owner: BundleFollower) -> None:
+    def __init__(self, log: log_client.Log, follower: BundleFollower) -> None:
         super().__init__(log, record.STREAM, READ_WAIT_S)
-        self._owner = owner
+        self._follower = follower
 
     async def read_first(self) -> log_client.Page:
         """Starts shortly before the log's end, where a checkpoint is expected.
@@ -60,16 +60,18 @@
         page = await self._log.read(self.stream, PAST_END_OFFSET, 0.0)
         start = page.next_offset - RECENT_RECORDS
         if start > page.first_retained:
-            self._owner.skip_to(start)
-        return await self._log.read(self.stream, self._owner.next_offset, 0.0)
+            self._follower.skip_to(start)
+        return await self._log.read(
+            self.stream, self._follower.next_offset, 0.0
+        )
 
     async def take(self, page: log_client.Page, first: bool) -> None:
         """See the base class."""
-        await self._owner.apply_page(page)
+        await self._follower.apply_page(page)
 
     def get_end(self, page: log_client.Page) -> int:
         """See the base class."""
-        return self._owner.next_offset
+        return self._follower.next_offset
 
 
 class BundleFollower(source.BundleSource):
@@ -179,12 +181,12 @@
     async def apply_page(self, page: log_client.Page) -> None:
         """Applies the records of a page in order."""
         self._acceptance.skip_to(page.first_retained)
-        for found in page.records:
-            parsed = record.parse_record(found.body)
+        for log_record in page.records:
+            parsed = record.parse_record(log_record.body)
             if parsed is None:
-                LOG.warning("record %s is not a bundle", found.offset)
+                LOG.warning("record %s is not a bundle", log_record.offset)
                 continue
-            verdict = self._acceptance.read(found.offset, parsed)
+            verdict = self._acceptance.read(log_record.offset, parsed)
             LOG.info("bundle record", extra={"verdict": verdict.value})
             self._announce()
             self._since_checkpoint += 1
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -55,7 +55,7 @@
 """Number of periods between two probes of a scheduler of another zone."""
 
 STREAM_END_FANOUT = 3
-"""Number of members that are told at once how far streams reach.  Members for
+"""Number of members that are sent new stream ends at once.  Members for
 which that is new do the same, so that nearly all know within one probe
 interval."""
 
--- a/ramptray/scheduler/handler.py
+++ b/ramptray/scheduler/handler.py
@@ -77,8 +77,8 @@
         raise ValueError(f"unknown request type: {type(request).__name__}")
 
     def _list_blocks(self) -> peer_message.BlockedContents:
-        news = self._hub.blocks.list_updates(steadyclock.read())
-        return peer_message.BlockedContents(news)
+        updates = self._hub.blocks.list_updates(steadyclock.read())
+        return peer_message.BlockedContents(updates)
 
     async def _collect_events(
         self, request: peer_message.AskTimeline
--- a/test/test_distributor.py
+++ b/test/test_distributor.py
@@ -162,9 +162,13 @@
 
 def _damage(answer: peer_message.ToldStreams) -> peer_message.ToldStreams:
     """Returns an answer whose end does not match its records."""
-    (news,) = answer.news
+    (update,) = answer.news
     return peer_message.ToldStreams(
-        [peer_message.StreamNews(STREAM, news.start, [], news.end + 7, False)]
+        [
+            peer_message.StreamNews(
+                STREAM, update.start, [], update.end + 7, False
+            )
+        ]
     )
 
 
@@ -193,12 +197,12 @@
         assert len(set(deployment.log.calls)) == 2
 
 
-@pytest.mark.parametrize("lost", [1, 2])
-async def test_others_take_over_when_readers_freeze(lost: int) -> None:
+@pytest.mark.parametrize("frozen_count", [1, 2])
+async def test_others_take_over_when_readers_freeze(frozen_count: int) -> None:
     async with run(12) as deployment:
         readers = deployment.list_readers()
-        deployment.frozen.update(readers[:lost])
-        deployment.log.refused.update(readers[:lost])
+        deployment.frozen.update(readers[:frozen_count])
+        deployment.log.refused.update(readers[:frozen_count])
         await anyio.sleep(0.2)
         deployment.log.write("a", b"2")
         await deployment.wait_known(2, TAKEOVER_LIMIT_S)
--- a/test/test_follower.py
+++ b/test/test_follower.py
@@ -19,7 +19,7 @@
 from test import test_bundle
 
 pytestmark = pytest.mark.anyio
-LONG_S = 20.0
+TIMEOUT_S = 20.0
 
 
 @pytest.fixture
@@ -69,7 +69,7 @@
     followed = make_follower(log, send.send_nowait)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(followed.run)
-        with anyio.fail_after(LONG_S):
+        with anyio.fail_after(TIMEOUT_S):
             in_force = await receive.receive()
         tasks.cancel_scope.cancel()
     return in_force
@@ -106,7 +106,7 @@
     followed.set_watching(True)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(followed.run)
-        with anyio.fail_after(LONG_S):
+        with anyio.fail_after(TIMEOUT_S):
             assert (await receive.receive()).envelope == test_bundle.FIRST
         second = acceptance.Rollout(test_bundle.SECOND)
         log.records.append(bundle_record.format_record(second))
--- a/test/test_gossip.py
+++ b/test/test_gossip.py
@@ -44,7 +44,7 @@
     client: link.PeerClient | None = None,
     seed: int = 1,
 ) -> gossip.Gossiper:
-    async def take_newer(address: str, generation: int) -> None:
+    async def ignore_newer(address: str, generation: int) -> None:
         """Fetches nothing."""
 
     return gossip.Gossiper(
@@ -54,7 +54,7 @@
         random.Random(seed),
         lambda view: None,
         lambda lowest: None,
-        take_newer,
+        ignore_newer,
         bundle_source,
     )
 
@@ -147,7 +147,7 @@
         self.on_news = on_news
 
     def accept_from_peer(
-        self, address: str, told: peer_message.FetchedBundle
+        self, address: str, answer: peer_message.FetchedBundle
     ) -> None:
         """See the base class."""
 
@@ -185,13 +185,13 @@
 
     async def ask(self, address: str, question: Any, timeout_s: float) -> Any:
         """See the base class."""
-        await anyio.sleep(HOP_S)
+        await anyio.sleep(HOP_DELAY_S)
         return self.peers[address].receive(question)
 
 
-HOP_S = 0.003
+HOP_DELAY_S = 0.003
 MEMBERS = 120
-SOON_S = 0.3
+SPREAD_LIMIT_S = 0.3
 
 
 def test_stream_ends_reach_a_large_deployment_at_once(
@@ -221,7 +221,7 @@
             for name in names[: source.WATCHER_COUNT]:
                 sources[name].ends = {"s": 6}
                 sources[name].on_news()
-            await anyio.sleep(SOON_S)
+            await anyio.sleep(SPREAD_LIMIT_S)
             tasks.cancel_scope.cancel()
 
     virtualtime.run(run)
@@ -289,8 +289,8 @@
 
 def test_a_scheduler_fetches_the_full_member_list() -> None:
     gossiper = make_gossiper([])
-    asked = gossiper._make_probe()
-    assert asked.wanted_after == ""
+    probe = gossiper._make_probe()
+    assert probe.wanted_after == ""
     names = sorted(f"m{n}" for n in range(60))
     others = [membership.Member(n, "z", f"{n}:1", 1) for n in names]
     peer = make_gossiper([], vm="l")
