--- a/ramptray/scheduler/follower.py
+++ b/ramptray/scheduler/follower.py
@@ -203,7 +203,9 @@
         return has_no_view and self._acceptance.first_read > first_retained
 
     async def _append_checkpoint_if_due(self) -> None:
-        """Appends a checkpoint if one is due, so that older records may go.
+        """Appends a checkpoint if one is due.
+
+        The log may then discard older records.
 
         Each scheduler draws at random how many records it waits for.  The first
         one to reach its number appends the checkpoint; the others reset their
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -28,7 +28,8 @@
 
 QUIET_PROBES_TO_JOIN = 8
 """Consecutive answered probes without a membership change after which a
-scheduler has joined.  Among two hundred members it probes this many."""
+scheduler counts as joined: its number of probe targets among two hundred
+members."""
 
 SUSPECT_PROBE_TIMEOUT_S = 0.25
 """Probe timeout for a member that may have failed, in seconds.  A round trip
@@ -55,13 +56,12 @@
 """Number of periods between two probes of a scheduler of another zone."""
 
 STREAM_END_FANOUT = 3
-"""Number of members that are sent new stream ends at once.  Members for
-which that is new do the same, so that nearly all know within one probe
-interval."""
+"""Number of members that are sent new stream ends at once.  Members to which they
+are new do the same, so that nearly all know them within one probe interval."""
 
 MAX_UNKNOWN_SEEDS = 4
-"""Number of seeds that are no members which are candidates for a probe.  They
-may be schedulers on the other side of a network partition."""
+"""Number of seeds outside the membership from which one is picked for a probe.
+They may be schedulers on the other side of a network partition."""
 
 
 class _ProbeOutcome(msgspec.Struct):
@@ -248,7 +248,7 @@
         return self._rng.choice(addresses) if addresses else None
 
     async def probe_now(self, address: str) -> None:
-        """Probes at once a member that did not answer some other process."""
+        """Probes at once a member that did not answer another process."""
         member = next(
             (m for m in self.membership.list_alive() if m.address == address),
             None,
--- a/ramptray/scheduler/source.py
+++ b/ramptray/scheduler/source.py
@@ -1,4 +1,4 @@
-"""Base class of sources of bundles, with their exchange between peers."""
+"""Base class of bundle sources, with the exchange of bundles between peers."""
 
 from __future__ import annotations
 
