--- a/ramptray/platform/follower.py
+++ b/ramptray/platform/follower.py
@@ -189,10 +189,10 @@
     def _record_outage(self, outage: distributor.LogOutage) -> None:
         self._book.record_outage(outage, steadyclock.read())
 
-    def set_on_stream_advance(self, on_news: Callable[[], None]) -> None:
+    def set_on_stream_advance(self, on_advance: Callable[[], None]) -> None:
         """See the base class."""
         for reader in self._readers:
-            reader.on_news = on_news
+            reader.on_news = on_advance
 
     def accept_from_peer(
         self, address: str, fetched: peer_message.FetchedBundle
--- a/ramptray/scheduler/distributor.py
+++ b/ramptray/scheduler/distributor.py
@@ -76,8 +76,8 @@
 """Age that is sent while the log's state is unknown, in seconds."""
 
 MIN_CHECK_INTERVAL_S = 0.1
-"""Shortest interval between two checks of whom to follow and whether to read the
-log, in seconds."""
+"""Shortest interval between two checks of whom to follow and whether to read
+the log, in seconds."""
 
 MAX_CHECK_INTERVAL_S = 1.0
 """Longest such interval, in seconds; nothing becomes due sooner."""
@@ -170,7 +170,7 @@
                 await self._wait_until_due(self._get_next_check_at() - now)
 
     def wake(self) -> None:
-        """Causes a check, without delay, of whom to follow and whether to read."""
+        """Checks without delay whom to follow and whether to read the log."""
         self._wake_event.set()
         self._wake_event = anyio.Event()
 
--- a/ramptray/scheduler/follower.py
+++ b/ramptray/scheduler/follower.py
@@ -137,9 +137,9 @@
         """See the base class."""
         self._reader.set_watching(watching)
 
-    def set_on_stream_advance(self, on_news: Callable[[], None]) -> None:
+    def set_on_stream_advance(self, on_advance: Callable[[], None]) -> None:
         """See the base class."""
-        self._reader.on_news = on_news
+        self._reader.on_news = on_advance
 
     async def run(self) -> None:
         """Follows the log until cancelled."""
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -56,8 +56,9 @@
 """Number of periods between two probes of a scheduler of another zone."""
 
 STREAM_END_FANOUT = 3
-"""Number of members that are sent new stream ends at once.  Members to which they
-are new do the same, so that nearly all know them within one probe interval."""
+"""Number of members that are sent new stream ends at once.  Members to which
+they are new do the same, so that nearly all know them within one probe
+interval."""
 
 MAX_UNKNOWN_SEEDS = 4
 """Number of seeds outside the membership from which one is picked for a probe.
@@ -223,10 +224,10 @@
             m.state is not membership.MemberState.LEFT
             for m in self.membership.list_all()
         )
-        known += self._count_unmet_seeds()
+        known += self._count_undiscovered_seeds()
         return min(1.0, LIMIT_SHARE_FACTOR * max(1, alive) / max(1, known))
 
-    def _count_unmet_seeds(self) -> int:
+    def _count_undiscovered_seeds(self) -> int:
         """Returns how many seeds may be schedulers not discovered yet.
 
         A scheduler that restarts alone on its side of a network partition knows
@@ -235,8 +236,8 @@
         """
         if steadyclock.read() >= self._count_seeds_until:
             return 0
-        met = {m.address for m in self.membership.list_all()}
-        return len(set(self._seeds) - met)
+        known_addresses = {m.address for m in self.membership.list_all()}
+        return len(set(self._seeds) - known_addresses)
 
     def pick_peer(self) -> str | None:
         """Returns the address of a random live scheduler, else of a seed."""
@@ -316,10 +317,12 @@
         Seeds that are members are left out, as they are probed as members.
         Extra probes from every scheduler of a large zone would overload them.
         """
-        met = [member.address for member in self._contacts.list_all()]
-        known = {m.address for m in self.membership.list_alive()}.union(met)
+        contacts = [member.address for member in self._contacts.list_all()]
+        known = {m.address for m in self.membership.list_alive()}.union(
+            contacts
+        )
         unknown_seeds = [seed for seed in self._seeds if seed not in known]
-        pool = met + unknown_seeds[:MAX_UNKNOWN_SEEDS]
+        pool = contacts + unknown_seeds[:MAX_UNKNOWN_SEEDS]
         return [self._rng.choice(pool)] if pool else []
 
     async def _probe(
--- a/ramptray/scheduler/source.py
+++ b/ramptray/scheduler/source.py
@@ -84,7 +84,7 @@
         return peer_message.ToldStreams([])
 
     @abc.abstractmethod
-    def set_on_stream_advance(self, on_news: Callable[[], None]) -> None:
+    def set_on_stream_advance(self, on_advance: Callable[[], None]) -> None:
         """Sets the callback for stream ends that peers may not know yet."""
 
     async def fetch(self, address: str, generation: int) -> None:
--- a/test/test_gossip.py
+++ b/test/test_gossip.py
@@ -114,7 +114,7 @@
         super().__init__(Peers(set()), 1.0)
         self.ends = {"s": 5}
         self.watching: bool | None = None
-        self.on_news: Callable[[], None] = _do_nothing
+        self.on_advance: Callable[[], None] = _do_nothing
 
     @property
     def in_force(self) -> acceptance.InForce | None:
@@ -142,9 +142,9 @@
         """See the base class."""
         self.watching = watching
 
-    def set_on_stream_advance(self, on_news: Callable[[], None]) -> None:
+    def set_on_stream_advance(self, on_advance: Callable[[], None]) -> None:
         """See the base class."""
-        self.on_news = on_news
+        self.on_advance = on_advance
 
     def accept_from_peer(
         self, address: str, answer: peer_message.FetchedBundle
@@ -173,7 +173,7 @@
         if ends["s"] > self.ends["s"]:
             self.ends = dict(ends)
             self.updated_at = steadyclock.read()
-            self.on_news()
+            self.on_advance()
 
 
 class Network(Peers):
@@ -220,7 +220,7 @@
             await anyio.sleep(0.05)
             for name in names[: source.WATCHER_COUNT]:
                 sources[name].ends = {"s": 6}
-                sources[name].on_news()
+                sources[name].on_advance()
             await anyio.sleep(SPREAD_LIMIT_S)
             tasks.cancel_scope.cancel()
 
