--- a/test/test_counted_sizes.py
+++ b/test/test_counted_sizes.py
@@ -1,4 +1,4 @@
-"""What requests count against their customer's token limit."""
+"""Token counts of requests against their customer's limit."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 SIZE = 900
 
 
-def test_requests_without_sizes_count_as_the_configuration_says() -> None:
-    # They counted 200 tokens each, whatever the customer's entry said.
+def test_requests_without_sizes_count_as_configured() -> None:
+    # They counted as 200 tokens each, regardless of the customer's setting.
     with node.run_platform() as started:
         wait_until(lambda: ask(started, "/safe/").status == 200)
         tenants = node.make_config(1)["tenants"]
--- a/test/test_limits.py
+++ b/test/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits on what one caller may ask of an entry."""
+"""Limits on requests to an entry, and customers' rate limits."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 def limited(
     tmp_path_factory: pytest.TempPathFactory,
 ) -> Iterator[deployment.Deployment]:
-    """A deployment whose entry has narrow limits."""
+    """A deployment whose entry has low limits."""
     folder = tmp_path_factory.mktemp("limits")
     started = deployment.Deployment(PLAN, folder)
     path = started.processes["entry/waw-a-vm1"].settings
@@ -71,7 +71,7 @@
     assert got[2]["error"]["outcome"] == "not_run"
 
 
-def test_a_body_that_comes_too_slowly_is_refused(
+def test_a_body_that_arrives_too_slowly_is_refused(
     limited: deployment.Deployment,
 ) -> None:
     with open_socket(limited) as opened:
@@ -82,7 +82,7 @@
         assert read_status(opened) == 408
 
 
-def test_a_head_that_is_too_large_is_refused(
+def test_headers_that_are_too_large_are_refused(
     limited: deployment.Deployment,
 ) -> None:
     with open_socket(limited) as opened:
@@ -90,7 +90,7 @@
         assert read_status(opened) in (400, 431)
 
 
-def test_too_many_requests_are_refused_in_words(
+def test_too_many_concurrent_requests_are_refused(
     limited: deployment.Deployment,
 ) -> None:
     slow = [open_socket(limited) for _ in range(6)]
@@ -108,7 +108,7 @@
     assert statuses == [408] * 4 + [503] * 2
 
 
-def test_a_customer_over_its_limit_is_told_when_to_come_back(
+def test_a_customer_over_its_limit_gets_a_retry_after(
     limited: deployment.Deployment,
 ) -> None:
     url = limited.entries[0].url + "/services/portal/x"
@@ -134,7 +134,7 @@
     assert not [text for text in logs if "key-wrong" in text]
 
 
-def test_a_bucket_lets_its_rate_through_and_no_more() -> None:
+def test_a_bucket_admits_its_rate_and_no_more() -> None:
     limits = limit.Limits({"ola": limit.RateLimit(requests_per_s=10.0)})
     passed = sum(
         limits.try_acquire("ola", 1, step * 0.01) == 0.0 for step in range(1000)
@@ -146,29 +146,29 @@
 TOTAL = 30.0
 
 
-def use_limits(
+def run_demand(
     limits: list[limit.Limits],
     demand: list[float],
     seconds: float,
-    cut: bool = False,
+    partitioned: bool = False,
 ) -> list[float]:
-    """Lets each zone ask at its rate; returns what passed a second."""
-    passed = [0] * len(limits)
-    debts = [0.0] * len(limits)
+    """Runs each zone's demand; returns the admitted requests a second."""
+    admitted = [0] * len(limits)
+    backlog = [0.0] * len(limits)
     for step in range(int(seconds * 100)):
         now = step / 100
-        for zone, wanted in enumerate(demand):
-            debts[zone] += wanted / 100
-            while debts[zone] >= 1:
-                debts[zone] -= 1
-                waited = limits[zone].try_acquire("ola", 1, now)
-                passed[zone] += waited == 0.0 and now >= seconds / 2
+        for zone, rate in enumerate(demand):
+            backlog[zone] += rate / 100
+            while backlog[zone] >= 1:
+                backlog[zone] -= 1
+                wait_s = limits[zone].try_acquire("ola", 1, now)
+                admitted[zone] += wait_s == 0.0 and now >= seconds / 2
         if step % 50 == 0:
-            told = [one.list_uses(now) for one in limits]
+            uses = [one.list_uses(now) for one in limits]
             for zone, one in enumerate(limits):
-                others = told[:zone] + told[zone + 1 :]
-                one.borrow([] if cut else others)
-    return [count / (seconds / 2) for count in passed]
+                others = uses[:zone] + uses[zone + 1 :]
+                one.borrow([] if partitioned else others)
+    return [count / (seconds / 2) for count in admitted]
 
 
 def make_limits() -> list[limit.Limits]:
@@ -176,18 +176,20 @@
     return [limit.Limits({"ola": rate}) for _ in range(ZONES)]
 
 
-def test_a_zone_uses_what_the_others_leave() -> None:
-    passed = use_limits(make_limits(), [40.0, 1.0, 1.0], 20)
-    assert 24 < passed[0] <= TOTAL
-    assert sum(passed) <= TOTAL
+def test_a_zone_borrows_what_the_others_do_not_use() -> None:
+    admitted = run_demand(make_limits(), [40.0, 1.0, 1.0], 20)
+    assert 24 < admitted[0] <= TOTAL
+    assert sum(admitted) <= TOTAL
 
 
-def test_zones_that_all_want_more_share_evenly() -> None:
-    passed = use_limits(make_limits(), [40.0, 40.0, 1.0], 20)
-    assert abs(passed[0] - passed[1]) < 1.0
-    assert 24 < sum(passed) <= TOTAL
+def test_zones_that_need_more_share_evenly() -> None:
+    admitted = run_demand(make_limits(), [40.0, 40.0, 1.0], 20)
+    assert abs(admitted[0] - admitted[1]) < 1.0
+    assert 24 < sum(admitted) <= TOTAL
 
 
-def test_a_zone_that_is_cut_off_keeps_its_share_and_no_more() -> None:
-    passed = use_limits(make_limits(), [40.0, 40.0, 40.0], 20, cut=True)
-    assert all(9.0 < rate <= 10.5 for rate in passed)
+def test_a_partitioned_zone_is_restricted_to_its_share() -> None:
+    admitted = run_demand(
+        make_limits(), [40.0, 40.0, 40.0], 20, partitioned=True
+    )
+    assert all(9.0 < rate <= 10.5 for rate in admitted)
--- a/test/test_rate_limit.py
+++ b/test/test_rate_limit.py
@@ -1,4 +1,4 @@
-"""Owners keep to the request limits of backend servers, and plan with them."""
+"""Owners respect the rate limits of backend servers and plan with them."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 def make_owner(
     servers: int = 1,
     part: float = 1.0,
-    born: float = 0.0,
+    started_at: float = 0.0,
     run: int = 0,
     limits: limit.Limits | None = None,
 ) -> shard.ShardOwner:
-    """Returns an owner of servers with more places than are needed."""
+    """Returns an owner of servers with more slots than are needed."""
     if limits is None:
         limits = limit.Limits({})
         limits.set_part(part)
@@ -39,20 +39,20 @@
             for n in range(servers)
         ],
         policy.TokenPolicy(),
-        born,
+        started_at,
         0.0,
         limits,
     )
 
 
-def name_limit(
+def announce_limit(
     owner: shard.ShardOwner,
     rate: float | None,
     names: Iterable[str] = ("s0",),
     now: float = 0.0,
     run: int = 0,
 ) -> None:
-    """Passes on to an owner what servers name."""
+    """Sends an owner the rate limit that servers announce."""
     for name in names:
         owner.receive("entry", message.ServerHints(name, run, rate), now)
 
@@ -87,10 +87,10 @@
     return [e.message for e in effects if isinstance(e.message, message.Reject)]
 
 
-def play(
+def send_load(
     owner: shard.ShardOwner, begin: float, end: float, per_tick: int = 3
 ) -> list[float]:
-    """Sends requests at each tick; returns when requests were granted."""
+    """Sends requests at each tick; returns the times of the grants."""
     granted: list[float] = []
     for tick in range(round((end - begin) / TICK_S)):
         now = begin + tick * TICK_S
@@ -108,107 +108,108 @@
     return granted
 
 
-def count_most(times: list[float]) -> int:
-    """Returns the most grants in any window."""
+def count_max_in_window(times: list[float]) -> int:
+    """Returns the largest number of grants in any window."""
     return max(
         sum(start <= at < start + WINDOW_S for at in times) for start in times
     )
 
 
-def get_allowed(rate: float) -> float:
-    """Returns the most requests that a server may get in a window."""
+def get_max_allowed(rate: float) -> float:
+    """Returns the largest number of requests a server may get in a window."""
     return 1.5 * rate * WINDOW_S + 5
 
 
 @pytest.mark.parametrize("rate", [0.3, 1.0, 1.1, 2.0, 7.5])
-def test_one_owner_sends_the_named_rate(rate: float) -> None:
+def test_one_owner_sends_at_the_announced_rate(rate: float) -> None:
     owner = make_owner()
-    name_limit(owner, rate)
-    granted = play(owner, 0.0, 12.0)
-    assert count_most(granted) <= rate * WINDOW_S + 1
-    # Between ticks nothing is granted here.
+    announce_limit(owner, rate)
+    granted = send_load(owner, 0.0, 12.0)
+    assert count_max_in_window(granted) <= rate * WINDOW_S + 1
+    # Requests are granted at ticks only.
     interval_s = math.ceil(1.0 / rate / TICK_S) * TICK_S
     assert len(granted) >= 0.9 * 12.0 / interval_s
 
 
 @pytest.mark.parametrize("rate", [1.0, 2.0, 20.0])
-def test_several_owners_at_once_keep_a_limit_together(rate: float) -> None:
+def test_concurrent_owners_respect_a_limit_together(rate: float) -> None:
     granted: list[float] = []
     for part in (0.4, 0.3, 0.3):
         owner = make_owner(part=part)
-        name_limit(owner, rate)
-        granted += play(owner, 0.0, 8.0)
-    assert count_most(granted) <= get_allowed(rate)
+        announce_limit(owner, rate)
+        granted += send_load(owner, 0.0, 8.0)
+    assert count_max_in_window(granted) <= get_max_allowed(rate)
 
 
 @pytest.mark.parametrize("rate", [1.0, 2.0, 5.0, 10.0])
-def test_an_owner_that_is_wrongly_taken_for_lost_exceeds_no_limit(
+def test_a_falsely_suspected_owner_and_its_stand_ins_respect_a_limit(
     rate: float,
 ) -> None:
-    # It goes on granting while an owner of each of three zones stands in.
+    # The owner continues granting while an owner in each of three zones stands
+    # in for it.
     granted: list[float] = []
     for part, stands_in in ((1.0, False), *[(1 / 3, True)] * 3):
         limits = limit.Limits({})
         limits.set_part(part, stands_in)
         owner = make_owner(limits=limits)
-        name_limit(owner, rate)
-        granted += play(owner, 0.0, 8.0)
-    assert count_most(granted) <= get_allowed(rate)
+        announce_limit(owner, rate)
+        granted += send_load(owner, 0.0, 8.0)
+    assert count_max_in_window(granted) <= get_max_allowed(rate)
 
 
 @pytest.mark.parametrize("rate", [1.0, 2.0, 20.0])
-def test_owners_that_follow_one_another_keep_a_limit(rate: float) -> None:
-    # A new owner knows the limit, but not what its predecessors sent.
+def test_successive_owners_respect_a_limit(rate: float) -> None:
+    # A new owner knows the limit, but not what the previous owners sent.
     granted: list[float] = []
     for begin in range(8):
-        owner = make_owner(born=float(begin))
-        name_limit(owner, rate, now=float(begin))
-        granted += play(owner, float(begin), begin + 1.0)
-    assert count_most(granted) <= get_allowed(rate)
+        owner = make_owner(started_at=float(begin))
+        announce_limit(owner, rate, now=float(begin))
+        granted += send_load(owner, float(begin), begin + 1.0)
+    assert count_max_in_window(granted) <= get_max_allowed(rate)
 
 
-def test_a_limit_ends_with_the_first_answer_without_it() -> None:
+def test_a_limit_ends_with_the_first_response_without_it() -> None:
     owner = make_owner()
-    name_limit(owner, 1.0)
-    assert len(play(owner, 0.0, 2.0)) <= 3
-    name_limit(owner, None, now=2.0)
-    assert len(play(owner, 2.0, 3.0)) >= 30
+    announce_limit(owner, 1.0)
+    assert len(send_load(owner, 0.0, 2.0)) <= 3
+    announce_limit(owner, None, now=2.0)
+    assert len(send_load(owner, 2.0, 3.0)) >= 30
 
 
-def test_a_limit_ends_with_the_run_of_its_server() -> None:
+def test_a_limit_ends_with_a_restart_of_its_server() -> None:
     owner = make_owner(run=1)
-    name_limit(owner, 1.0, run=1)
+    announce_limit(owner, 1.0, run=1)
     assert owner.fleet.backends["s0"].limit_per_s == 1.0
     later = msgspec.structs.replace(owner.fleet.backends["s0"].info, run=2)
     owner.fleet.configure([later], "")
     assert owner.fleet.backends["s0"].limit_per_s is None
-    name_limit(owner, 1.0, run=1)
+    announce_limit(owner, 1.0, run=1)
     assert owner.fleet.backends["s0"].limit_per_s is None
 
 
-def test_a_limit_outlives_a_change_of_the_server_s_places() -> None:
+def test_a_limit_survives_a_change_of_the_number_of_slots() -> None:
     owner = make_owner()
-    name_limit(owner, 1.0)
-    granted = play(owner, 0.0, 0.1)
+    announce_limit(owner, 1.0)
+    granted = send_load(owner, 0.0, 0.1)
     info = msgspec.structs.replace(
         owner.fleet.backends["s0"].info, max_running=50
     )
     owner.fleet.configure([info], "")
-    granted += play(owner, 0.1, 4.0)
-    assert count_most(granted) <= 5
+    granted += send_load(owner, 0.1, 4.0)
+    assert count_max_in_window(granted) <= 5
 
 
-def test_a_server_that_names_zero_is_still_asked_whether_it_does() -> None:
+def test_a_server_with_a_limit_of_zero_is_still_probed() -> None:
     owner = make_owner()
-    name_limit(owner, 0.0)
-    granted = play(owner, 0.0, 20.0)
+    announce_limit(owner, 0.0)
+    granted = send_load(owner, 0.0, 20.0)
     assert len(granted) >= 2
-    assert count_most(granted) <= get_allowed(0.0)
+    assert count_max_in_window(granted) <= get_max_allowed(0.0)
 
 
 def test_each_attempt_counts_towards_a_limit() -> None:
     owner = make_owner(servers=2)
-    name_limit(owner, 1.0, ["s0", "s1"])
+    announce_limit(owner, 1.0, ["s0", "s1"])
     asked = make_request()
     (first,) = list_grants(owner.receive("entry", asked, 0.0))
     failed = message.Decline(
@@ -219,9 +220,9 @@
     assert not list_grants(owner.receive("entry", make_request(), 0.2))
 
 
-def test_no_request_waits_for_a_limit_while_another_server_has_room() -> None:
+def test_no_request_waits_for_a_limit_while_another_server_is_free() -> None:
     owner = make_owner(servers=2)
-    name_limit(owner, 1.0, ["s0"])
+    announce_limit(owner, 1.0, ["s0"])
     granted = [
         grant
         for _ in range(10)
@@ -231,13 +232,13 @@
     assert sum(grant.backend == "s0" for grant in granted) <= 1
 
 
-def test_a_fast_server_without_room_does_not_hide_the_others() -> None:
-    # More servers than are looked at are limited; the slow last one is not.
+def test_a_full_server_without_a_limit_does_not_hide_the_others() -> None:
+    # More servers are limited than are examined; the slow last one is not.
     owner = make_owner(servers=12)
     last = owner.fleet.backends["s11"]
     last.info = msgspec.structs.replace(last.info, max_running=1)
     last.speed.factor *= 3
-    name_limit(owner, 0.25, [f"s{n}" for n in range(11)])
+    announce_limit(owner, 0.25, [f"s{n}" for n in range(11)])
     for _ in range(12):
         assert owner.receive("entry", make_request(), 0.0)
     owner.receive("entry", make_request(objective_s=1.5), 0.1)
@@ -245,10 +246,10 @@
     assert owner.list_waiting() == [1, 0]
 
 
-def test_what_cannot_be_in_time_under_a_limit_is_refused_at_once() -> None:
-    # Load pattern: every server of a service names a limit at the same time.
+def test_requests_that_would_be_late_under_a_limit_are_refused_early() -> None:
+    # All servers of a service announce a limit at the same time.
     owner = make_owner(servers=2)
-    name_limit(owner, 1.0, ["s0", "s1"])
+    announce_limit(owner, 1.0, ["s0", "s1"])
     asked = [make_request(objective_s=2.0) for _ in range(20)]
     out = [e for each in asked for e in owner.receive("entry", each, 0.0)]
     out += owner.tick(0.1)
@@ -259,22 +260,24 @@
     assert all(each.retry_after_s <= 12.0 for each in rejects)
 
 
-def test_callers_refused_under_a_limit_return_as_it_allows() -> None:
+def test_retry_after_under_a_limit_is_spread_at_its_rate() -> None:
     owner = make_owner(servers=2)
-    name_limit(owner, 1.0, ["s0", "s1"])
+    announce_limit(owner, 1.0, ["s0", "s1"])
     asked = [make_request(objective_s=2.0) for _ in range(20)]
     out = [e for each in asked for e in owner.receive("entry", each, 0.0)]
     out += owner.tick(0.1)
-    advice = sorted(each.retry_after_s for each in list_rejects(out))
-    assert len(advice) >= 12
-    # Two are served a second, so the last one returns much later.
-    assert advice[-1] >= len(advice) / 2.0 - 1.0
-    assert advice[-1] - advice[0] >= len(advice) / 2.0 - 2.0
+    retry_after_s = sorted(each.retry_after_s for each in list_rejects(out))
+    assert len(retry_after_s) >= 12
+    # Two requests are served a second, so the last retry is much later.
+    assert retry_after_s[-1] >= len(retry_after_s) / 2.0 - 1.0
+    assert (
+        retry_after_s[-1] - retry_after_s[0] >= len(retry_after_s) / 2.0 - 2.0
+    )
 
 
-def test_higher_tiers_go_first_under_a_limit() -> None:
+def test_higher_tiers_are_granted_first_under_a_limit() -> None:
     owner = make_owner()
-    name_limit(owner, 1.0)
+    announce_limit(owner, 1.0)
     lower = [make_request("batch", 2.5) for _ in range(5)]
     higher = [make_request("urgent", 2.5) for _ in range(2)]
     owner.receive("entry", make_request(), 0.0)
@@ -288,19 +291,17 @@
     assert set(granted[:2]) == expected
 
 
-def test_other_zones_send_nothing_to_a_shard_that_is_limited_throughout() -> (
-    None
-):
+def test_a_shard_with_limits_on_all_servers_accepts_no_redirects() -> None:
     owner = make_owner(servers=2)
     assert owner.summarize(0.0, 1).has_room(0, 10)
-    name_limit(owner, 1.0, ["s0"])
+    announce_limit(owner, 1.0, ["s0"])
     assert owner.summarize(0.0, 2).has_room(0, 10)
-    name_limit(owner, 1.0, ["s1"])
+    announce_limit(owner, 1.0, ["s1"])
     assert not owner.summarize(0.0, 3).has_room(0, 10)
 
 
-def test_a_part_of_nothing_sends_nothing() -> None:
+def test_an_owner_with_no_part_of_a_limit_sends_nothing() -> None:
     owner = make_owner(part=0.0)
-    name_limit(owner, 5.0)
-    assert play(owner, 0.0, 4.0) == []
+    announce_limit(owner, 5.0)
+    assert send_load(owner, 0.0, 4.0) == []
     assert owner.fleet.backends["s0"].get_rate_wait(4.0, 0.0) == math.inf
--- a/test/test_regions.py
+++ b/test/test_regions.py
@@ -1,4 +1,4 @@
-"""Requests that only some regions may serve reach no other region."""
+"""Requests restricted to some regions are sent to no other region."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         0.0,
         0.0,
     )
-    # The server outside the region would be the faster one.
+    # The server in the other region is faster.
     owner.fleet.backends["south"].speed.factor /= 4
     return owner
 
@@ -72,7 +72,7 @@
     assert other.message.backend == "south"
 
 
-def test_a_request_that_failed_in_its_region_goes_to_no_other() -> None:
+def test_a_request_that_failed_is_retried_only_in_its_region() -> None:
     owner = make_owner()
     (again,) = enqueue(owner, "r1", ("north",), avoid=("north",))
     assert isinstance(again.message, message.Grant)
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize(
     ("regions", "silent"), [((), ()), (("west",), ()), (("north",), ("north",))]
 )
-def test_a_request_that_no_region_may_serve_is_refused_at_once(
+def test_a_request_without_a_usable_region_is_refused_at_once(
     regions: tuple[str, ...], silent: tuple[str, ...]
 ) -> None:
     (refused,) = enqueue(make_owner(), "r1", regions, silent=silent)
@@ -101,7 +101,7 @@
     assert bundle.customers["small"].regions is None
 
 
-def test_backend_servers_stand_in_the_region_of_their_zone() -> None:
+def test_backend_servers_have_the_region_of_their_zone() -> None:
     declared = config.parse_config(json.dumps(node.make_config(1)))
     book = replicas.ReplicaBook(1.6)
     for zone in REGIONS:
@@ -125,18 +125,19 @@
         for version, region in enumerate(REGIONS.values(), start=2):
             declared = node.make_config(version)
             declared["routes"][0]["allowedRegions"] = [region]
-            # Both lists bind: nothing is in both of the second customer.
+            # Both lists apply; for the second customer they have no common
+            # region.
             others = [other for other in REGIONS.values() if other != region]
             declared["tenants"][1]["allowedRegions"] = others
             started.set_config(declared)
             started.wait_for_config("vm-0", version)
-            assert reach(started) == {f"i-{region}"}
+            assert list_responding_replicas(started) == {f"i-{region}"}
             key = {"Authorization": f"Bearer {node.LIMITED_KEY}"}
             assert ask(started, "/safe/", headers=key).status == 503
 
 
-def reach(started: node.Platform) -> set[str]:
-    """Returns the replicas that answered some requests."""
+def list_responding_replicas(started: node.Platform) -> set[str]:
+    """Returns the replicas that answered a few requests."""
     answers = [ask(started, "/safe/") for _ in range(4)]
     return {
         answer.headers["x-response-signature"].partition(".")[0]
--- a/test/test_replay.py
+++ b/test/test_replay.py
@@ -1,7 +1,7 @@
-"""Load at its worst, replayed against the decision core in virtual time.
+"""Critical load patterns, replayed against the decision core in virtual time.
 
-Each pattern is one under which earlier code lost worth; the bounds are those of
-the first measurement, less what seeds differ by.
+Earlier versions lost worth under each of these patterns.  The bounds allow for
+the variation between seeds.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 SEEDS = (1, 2)
 
-LEAST_WORTH = {
+MIN_WORTH = {
     "burst": 0.90,
     "calm": 0.98,
     "customer": 0.86,
@@ -27,11 +27,11 @@
     "storm": 0.90,
     "zone": 0.95,
 }
-"""Worth that each pattern has at least, from the callers' first tries."""
+"""Lower bound of the worth of each pattern, from the callers' first tries."""
 
 
-def play(name: str, policy_name: str = "token") -> list[caller.Call]:
-    """Returns what became of the calls of a pattern, over all seeds."""
+def replay(name: str, policy_name: str = "token") -> list[caller.Call]:
+    """Replays a pattern with all seeds and returns its calls."""
     given = pattern.read_pattern(name)
     return [
         call
@@ -40,62 +40,62 @@
     ]
 
 
-CLEARLY = 0.05
-"""Difference of the parts served that two tiers of a few hundred calls may have
-by chance."""
+CHANCE_DIFFERENCE = 0.05
+"""Difference between the served parts of two tiers of a few hundred calls that
+may be due to chance."""
 
 LIMITED = "customer"
-"""The pattern in which a customer's limit binds: it lets small requests through
-more often than large ones, whatever their tier (listed as open)."""
+"""The pattern in which a customer's limit applies.  It admits small requests
+more often than large ones, regardless of their tier (a known open issue)."""
 
 
 @pytest.mark.parametrize("name", pattern.list_names())
-def test_a_load_pattern_keeps_its_worth(name: str) -> None:
-    assert worth.sum_up(play(name)).worth >= LEAST_WORTH[name]
+def test_the_worth_of_a_load_pattern_does_not_regress(name: str) -> None:
+    assert worth.sum_up(replay(name)).worth >= MIN_WORTH[name]
 
 
 @pytest.mark.parametrize(
     "name", [name for name in pattern.list_names() if name != LIMITED]
 )
 def test_no_tier_is_served_less_often_than_a_lower_one(name: str) -> None:
-    kinds = worth.sum_up_kinds(play(name))
+    kinds = worth.sum_up_kinds(replay(name))
     served = [
         (kinds[kind].in_time + kinds[kind].late) / kinds[kind].asked
         for kind in ("digest", "route", "triage")
     ]
-    assert served[0] >= served[1] - CLEARLY
-    assert served[1] >= served[2] - CLEARLY
+    assert served[0] >= served[1] - CHANCE_DIFFERENCE
+    assert served[1] >= served[2] - CHANCE_DIFFERENCE
 
 
-def test_long_requests_stay_away_from_slow_engines() -> None:
-    ours, theirs = play("calm"), play("calm", "least_outstanding")
+def test_long_requests_are_not_sent_to_slow_engines() -> None:
+    ours, theirs = replay("calm"), replay("calm", "least_outstanding")
     lost = [call for call in ours if not call.is_in_time]
     assert len(lost) < 0.02 * len(ours)
     assert worth.sum_up(ours).worth > worth.sum_up(theirs).worth + 0.05
 
 
-def test_who_is_refused_has_not_waited_long() -> None:
-    # It had waited for two to three objectives.
-    refused = [call for call in play("burst") if call.was_refused]
+def test_refused_requests_have_not_waited_long() -> None:
+    # They had waited for two to three times their objective.
+    refused = [call for call in replay("burst") if call.was_refused]
     assert refused
     waits = sorted(call.vain_s / call.tries for call in refused)
     assert waits[len(waits) // 2] < 0.5
 
 
-def test_a_run_is_the_same_each_time() -> None:
+def test_a_replay_is_deterministic() -> None:
     given = pattern.read_pattern("storm")
     one, other = world.play(given, 7), world.play(given, 7)
     assert [c.first_at for c in one.calls] == [c.first_at for c in other.calls]
 
 
-def test_a_variant_changes_a_constant_and_gives_it_back() -> None:
+def test_a_variant_changes_a_constant_and_restores_it() -> None:
     before = policy.FIRST_MARGIN
     with variant.use(variant.parse_variant("policy.FIRST_MARGIN=3")):
         assert policy.FIRST_MARGIN == 3
     assert before == policy.FIRST_MARGIN
 
 
-def test_a_mistake_in_a_variant_or_pattern_is_told_in_one_line(
+def test_an_invalid_variant_or_pattern_is_reported_in_one_line(
     tmp_path: pathlib.Path,
 ) -> None:
     path = tmp_path / "mine.json5"
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -12,11 +12,11 @@
 from ramptray.scheduler import observations
 from test.test_dispatcher import OTHER, OURS, Desk, anyio_backend, desk
 from test.test_rate_limit import (
+    announce_limit,
     list_grants,
     list_rejects,
     make_owner,
     make_request,
-    name_limit,
 )
 
 # Fixtures that are used here.
@@ -123,7 +123,7 @@
     hints = message.ServerHints("s0", 0, is_leaving=True)
     owner.receive("entry", hints, 0.0)
     # Neither a later hint nor the record of a run takes it back.
-    name_limit(owner, None)
+    announce_limit(owner, None)
     owner.fleet.set_state("s0", backend.BackendState.ACTIVE)
     info = backend.BackendInfo("s0", 50, 10**9, 16, run=1 if later else 0)
     owner.fleet.configure([info], "")
--- a/test/test_shard.py
+++ b/test/test_shard.py
@@ -1,4 +1,4 @@
-"""Properties of a shard's owner under any order of messages."""
+"""Property tests of a shard's owner with arbitrary sequences of messages."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 def make_owner(
     count: int = 2, queue_cost: int = 4000, headroom: float = 0.25
 ) -> shard.ShardOwner:
-    """Returns an owner with small engines and a short queue."""
+    """Returns an owner with small engines and a small queue."""
     ranks = {tier: rank for rank, tier in enumerate(TIERS)}
     return shard.ShardOwner(
         KEY,
@@ -53,14 +53,14 @@
     output: int = 50,
     deadline_s: float = 60.0,
 ) -> message.RequestInfo:
-    """Returns a request's facts."""
+    """Returns a request's properties."""
     return message.RequestInfo(
         name, KEY, customer, tier, prompt, output, (), deadline_s
     )
 
 
 class OwnerMachine(RuleBasedStateMachine):
-    """Sends an owner anything that entries may send, in any order."""
+    """Sends an owner any messages that entries may send, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -72,30 +72,30 @@
         self.granted: dict[str, message.Grant] = {}
 
     def send(self, sent: message.EntryMessage) -> None:
-        """Sends one message and judges what comes back."""
+        """Sends one message and checks the responses."""
         before = self.owner.list_waiting()
-        self.take(self.owner.receive("entry", sent, self.now), before)
+        self.check_effects(self.owner.receive("entry", sent, self.now), before)
 
-    def take(
+    def check_effects(
         self, out: list[owner_effect.SendToEntry], before: list[int]
     ) -> None:
-        """Judges the owner's messages."""
+        """Checks the owner's messages."""
         for effect in out:
-            told = effect.message
-            assert told.request_id in self.waiting, told
-            self.waiting.discard(told.request_id)
-            if isinstance(told, message.Grant):
-                self.granted[told.request_id] = told
-            if isinstance(told, message.Reject):
-                self.judge_reject(told)
-
-    def judge_reject(self, told: message.Reject) -> None:
-        """No tier is shed while a lower one still waits."""
-        info = self.infos[told.request_id]
-        assert told.retry_after_s > 0
-        if told.reason is message.Reason.OVERLOADED:
+            sent = effect.message
+            assert sent.request_id in self.waiting, sent
+            self.waiting.discard(sent.request_id)
+            if isinstance(sent, message.Grant):
+                self.granted[sent.request_id] = sent
+            if isinstance(sent, message.Reject):
+                self.check_reject(sent)
+
+    def check_reject(self, reject: message.Reject) -> None:
+        """Checks that no tier is shed while a lower one is queued."""
+        info = self.infos[reject.request_id]
+        assert reject.retry_after_s > 0
+        if reject.reason is message.Reason.OVERLOADED:
             rank = TIERS.index(info.tier)
-            assert not any(self.owner.list_waiting()[rank + 1 :]), told
+            assert not any(self.owner.list_waiting()[rank + 1 :]), reject
 
     @rule(
         tier=st.sampled_from(TIERS),
@@ -155,13 +155,13 @@
     @rule(seconds=st.floats(0.01, 5))
     def tick(self, seconds: float) -> None:
         self.now += seconds
-        self.take(self.owner.tick(self.now), self.owner.list_waiting())
+        self.check_effects(self.owner.tick(self.now), self.owner.list_waiting())
 
     @rule(lost=st.sets(st.integers(1, 60), max_size=20))
     def reattach(self, lost: set[int]) -> None:
-        """The entry's link breaks; it comes back and tells all it has.
+        """The entry reconnects and resynchronizes all of its requests.
 
-        Grants that were under way are lost: those requests wait again.
+        Grants in transit are lost, so those requests are queued again.
         """
         for name in sorted(self.granted):
             if int(name[1:]) in lost:
@@ -182,7 +182,7 @@
         self.owner.apply_load_report(name, running)
 
     @invariant()
-    def books_are_balanced(self) -> None:
+    def check_accounting(self) -> None:
         for known in self.owner.fleet.backends.values():
             pending = known.pending.values()
             assert known.prefill_tokens == sum(p.uncached for p in pending)
@@ -219,7 +219,7 @@
     assert [effect.message.request_id for effect in out] == ["u"]
 
 
-def test_customers_share_a_tier_by_tokens() -> None:
+def test_customers_share_a_tier_fairly_by_tokens() -> None:
     owner = make_owner(count=1, queue_cost=10**9)
     for number in range(40):
         for customer, prompt in (("ola", 1000), ("hydraulik", 100)):
@@ -243,7 +243,7 @@
     assert 0.5 < used["ola"] / used["hydraulik"] < 2.0
 
 
-def test_an_entry_that_dies_frees_its_places_after_a_bound() -> None:
+def test_slots_of_a_dead_entry_are_freed_after_a_timeout() -> None:
     owner = make_owner(count=1)
     owner.receive("dead", message.Enqueue(make_info("r")), 1.0)
     assert len(owner.fleet.backends["e0"].placed) == 1
@@ -254,7 +254,7 @@
     assert len(owner.fleet.backends["e0"].placed) == 0
 
 
-def test_a_new_owner_hears_an_engine_before_it_grants() -> None:
+def test_a_new_owner_waits_for_a_load_report_before_it_grants() -> None:
     owner = shard.ShardOwner(
         KEY,
         "127.0.0.1:1",
@@ -273,7 +273,7 @@
     assert granted[0].backend == "e1"
 
 
-def test_a_grant_that_was_lost_with_its_link_is_given_anew() -> None:
+def test_a_grant_lost_with_its_connection_is_repeated() -> None:
     owner = make_owner(count=1)
     enqueue = message.Enqueue(make_info("r"))
     assert owner.receive("entry", enqueue, 1.0)
@@ -285,18 +285,18 @@
     assert list(owner.fleet.backends["e0"].placed) == ["r"]
 
 
-def test_a_request_whose_owner_changed_while_it_connected_waits_again() -> None:
+def test_a_request_whose_owner_changed_while_it_connected_is_requeued() -> None:
     info = make_info("r")
     machine = request.RequestMachine(info, needs_claim=False)
     machine.assign("A", info)
     machine.receive_grant(message.Grant("r", "A#1", "e0", "A"))
     successor = make_owner(count=2)
-    told = [*machine.assign("B", info, 0.1), *machine.fail_connect()]
+    effects = [*machine.assign("B", info, 0.1), *machine.fail_connect()]
     out = [
         effect
-        for tell in told
-        if isinstance(tell, request.SendToOwner) and tell.owner == "B"
-        for effect in successor.receive("entry", tell.message, 1.0)
+        for sent in effects
+        if isinstance(sent, request.SendToOwner) and sent.owner == "B"
+        for effect in successor.receive("entry", sent.message, 1.0)
     ]
     granted = out[-1].message
     assert isinstance(granted, message.Grant)
@@ -304,7 +304,7 @@
     assert successor.fleet.backends["e0"].placed == {}
 
 
-def test_no_room_here_sends_the_request_where_there_is_room() -> None:
+def test_a_request_is_redirected_to_a_zone_with_capacity() -> None:
     owner = make_owner(count=0)
     elsewhere = summary.ShardSummary(
         msgspec.structs.replace(KEY, zone="waw-b"),
--- a/test/test_totals.py
+++ b/test/test_totals.py
@@ -1,4 +1,4 @@
-"""Customers' limits that hold as a total over any span of some seconds."""
+"""Customers' limits on the total over any span of some seconds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 TOTAL = 400_000.0
 RATE = limit.RateLimit(tokens_per_s=20_000.0, span_s=SPAN_S, span_total=TOTAL)
 LARGE = 20_000
-"""The largest request that is sent here, in tokens."""
+"""Size of the largest request, in tokens."""
 
 Taken = list[tuple[float, int]]
 
@@ -31,7 +31,7 @@
     begin: float,
     end: float,
 ) -> Taken:
-    """Sends requests of all sizes; returns what was let through."""
+    """Sends requests of various sizes; returns the admitted ones."""
     taken: Taken = []
     now = begin
     while now < end:
@@ -42,8 +42,8 @@
     return taken
 
 
-def find_most(taken: Taken) -> int:
-    """Returns the most that was taken in any span."""
+def find_max_in_span(taken: Taken) -> int:
+    """Returns the largest amount taken in any span."""
     ordered = sorted(taken)
     most = total = first = 0
     for now, size in ordered:
@@ -55,9 +55,10 @@
     return most
 
 
-def test_what_the_total_allows_is_let_through() -> None:
-    # cmp-flotta, quiet-1: a customer's limit was lowered under what it sends;
-    # two thirds of what the total allowed were refused while places were free.
+def test_requests_within_the_total_are_admitted() -> None:
+    # After a customer's limit was lowered below its demand, two thirds of what
+    # the total allowed were refused while slots were free (seen in cmp-flotta,
+    # quiet-1).
     rng = random.Random(1)
     limits = make_limits()
     send(limits, rng, 10_000, 0.0, 4.0)
@@ -66,13 +67,13 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_span_holds_more_than_the_total(seed: int) -> None:
+def test_no_span_exceeds_the_total(seed: int) -> None:
     taken = send(make_limits(), random.Random(seed), 500_000, 0.0, 40.0)
-    assert 0.7 * TOTAL < find_most(taken) <= TOTAL
+    assert 0.7 * TOTAL < find_max_in_span(taken) <= TOTAL
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_owners_that_follow_one_another_keep_the_total(seed: int) -> None:
+def test_successive_owners_respect_the_total(seed: int) -> None:
     rng = random.Random(seed)
     taken: Taken = []
     now = 0.0
@@ -80,31 +81,31 @@
         lasts_s = rng.choice([0.5, 2.0, 5.0, 9.0])
         taken += send(make_limits(), rng, 500_000, now, now + lasts_s)
         now += lasts_s
-    assert find_most(taken) <= TOTAL
+    assert find_max_in_span(taken) <= TOTAL
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_lump_before_an_owner_is_lost_keeps_the_total(seed: int) -> None:
+def test_a_burst_before_an_owner_is_lost_respects_the_total(seed: int) -> None:
     rng = random.Random(seed)
     limits = make_limits()
     send(limits, rng, 1000, 0.0, 0.1)
-    begin = 20.0  # The bucket is full after so long a rest.
+    begin = 20.0  # By then the bucket is full.
     end = begin + rng.uniform(0.1, 4.0)
     taken = send(limits, rng, 500_000, begin, end)
     taken += send(make_limits(), rng, 500_000, end, end + 10.0)
-    assert find_most(taken) <= TOTAL
+    assert find_max_in_span(taken) <= TOTAL
 
 
 VMS = 7
-ALONE_S = 0.7
-"""How long VMs that start together take to meet at most, in seconds."""
+DISCOVERY_S = 0.7
+"""Longest time until VMs that start together find each other, in seconds."""
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_restarts_of_everything_keep_the_total(seed: int) -> None:
-    # hanbit-qlog, trouble-3 seed 342363000745: all VMs were killed twice within
-    # a span while a customer sent many times its usual.  Each was its own owner
-    # for a moment, and each began with some tokens.
+def test_restarts_of_all_vms_respect_the_total(seed: int) -> None:
+    # All VMs were killed twice within a span while a customer sent many times
+    # its usual load.  Each VM was briefly its own owner and started with some
+    # tokens (hanbit-qlog, trouble-3 seed 342363000745).
     rng = random.Random(seed)
     limits = make_limits()
     send(limits, rng, 1000, 0.0, 0.1)
@@ -113,17 +114,17 @@
     for _ in range(3):
         now += 0.8
         fresh = [make_limits(1 / 4) for _ in range(VMS)]
-        met_at = now + rng.uniform(0.2, ALONE_S)
+        found_at = now + rng.uniform(0.2, DISCOVERY_S)
         for alone in fresh:
-            taken += send(alone, rng, 500_000 / VMS, now, met_at)
+            taken += send(alone, rng, 500_000 / VMS, now, found_at)
         lasts_s = rng.choice([1.0, 3.0, 6.0])
         fresh[0].set_part(1.0)
-        taken += send(fresh[0], rng, 500_000, met_at, met_at + lasts_s)
-        now = met_at + lasts_s
-    assert find_most(taken) <= TOTAL
+        taken += send(fresh[0], rng, 500_000, found_at, found_at + lasts_s)
+        now = found_at + lasts_s
+    assert find_max_in_span(taken) <= TOTAL
 
 
-def test_advice_on_when_to_come_back_does_not_add_up() -> None:
+def test_retry_after_does_not_accumulate() -> None:
     limits = make_limits()
     waits = [
         limits.try_acquire("ola", 5000, 1.0 + n / 1000) for n in range(1000)
@@ -132,7 +133,7 @@
     assert min(wait for wait in waits if wait) > 0
 
 
-def test_what_does_not_run_is_given_back() -> None:
+def test_a_request_that_does_not_run_is_refunded() -> None:
     limits = make_limits()
     limits.try_acquire("ola", 1, 0.0)
     now = 9.0
@@ -142,7 +143,7 @@
     assert limits.try_acquire("ola", 5000, now) == 0.0
 
 
-def test_an_owner_gives_back_what_it_refuses() -> None:
+def test_an_owner_refunds_refused_requests() -> None:
     key = message.ShardKey("all", "lm")
     rate = limit.RateLimit(tokens_per_s=1000.0, burst=1000.0)
     owner = shard.ShardOwner(
@@ -168,7 +169,7 @@
             limit_tokens=1000,
             wait_s=0.05,
         )
-        # No backend server is left, so it waits and is given up in the end.
+        # No backend server is usable, so the request is queued, then refused.
         assert owner.receive("entry", message.Enqueue(info), now) == []
         (refused,) = owner.tick(now + 0.06)
         assert isinstance(refused.message, message.Reject)
--- a/test/test_waiting.py
+++ b/test/test_waiting.py
@@ -1,4 +1,4 @@
-"""Where requests wait and go while nearly all places are taken."""
+"""Queueing and server choice while nearly all slots are in use."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ramptray.core import rules as shard_rules
 
 KEY = message.ShardKey("all", "lm")
-PLACES = 2
+SLOTS = 2
 FAST = message.Speed(100_000.0, 0.003, 0.03)
 SLOW = message.Speed(20_000.0, 0.015, 0.15)
 LONG = message.RequestInfo(
@@ -30,12 +30,12 @@
 
 
 def make_owner(**speeds: message.Speed) -> shard.ShardOwner:
-    """Returns an owner that knows how fast its engines are."""
+    """Returns an owner that knows the speed of its engines."""
     owner = shard.ShardOwner(
         KEY,
         "127.0.0.1:1",
         shard_rules.ShardRules({"urgent": 0, "normal": 1}, 10**9, 0.0, {}, {}),
-        [backend.BackendInfo(name, PLACES, 10**6, 0) for name in speeds],
+        [backend.BackendInfo(name, SLOTS, 10**6, 0) for name in speeds],
         policy.make_policy(),
         0.0,
         report_grace_s=0.0,
@@ -51,7 +51,7 @@
 def send(
     owner: shard.ShardOwner, info: message.RequestInfo, now: float = 1.0
 ) -> list[str]:
-    """Returns the backend servers that are granted."""
+    """Sends a request and returns the granted backend servers."""
     return list_granted(owner.receive("entry", message.Enqueue(info), now))
 
 
@@ -64,8 +64,8 @@
 
 
 def fill(owner: shard.ShardOwner, name: str) -> list[str]:
-    """Takes every place of a backend server; returns the requests' names."""
-    names = [f"{name}-{number}" for number in range(PLACES)]
+    """Fills all slots of a backend server; returns the request IDs."""
+    names = [f"{name}-{number}" for number in range(SLOTS)]
     for taken in names:
         info = msgspec.structs.replace(SHORT, request_id=taken)
         owner.fleet.place(info, owner.fleet.backends[name], "entry", "", 0.5)
@@ -74,7 +74,7 @@
     return names
 
 
-def test_a_long_request_waits_for_an_engine_where_it_is_in_time() -> None:
+def test_a_long_request_waits_for_an_engine_that_meets_its_objective() -> None:
     owner = make_owner(fast=FAST, slow=SLOW)
     running = fill(owner, "fast")
     assert send(owner, LONG) == []
@@ -82,7 +82,7 @@
     assert list_granted(owner.receive("entry", ended, 1.1)) == ["fast"]
 
 
-def test_a_lower_tier_waits_for_what_a_higher_one_may_take() -> None:
+def test_a_lower_tier_leaves_a_slot_that_a_higher_one_can_use() -> None:
     owner = make_owner(fast=FAST, slow=SLOW)
     running = fill(owner, "fast")
     assert send(owner, LONG) == []
@@ -92,9 +92,9 @@
     assert [e.message.request_id for e in granted] == ["long", "short"]
 
 
-def test_a_lower_tier_takes_what_a_higher_one_cannot_reach() -> None:
-    # Behind a cut requests wait for the few engines there; those of the other
-    # side are not kept for them.
+def test_a_lower_tier_uses_a_server_that_a_higher_one_cannot_reach() -> None:
+    # During a partition, requests wait for the few engines on their side.
+    # Engines on the other side are not reserved for them.
     owner = make_owner(near=FAST, far=FAST)
     fill(owner, "near")
     cut_off = msgspec.structs.replace(LONG, silent=("far",))
@@ -102,15 +102,15 @@
     assert send(owner, SHORT, 1.01) == ["far"]
 
 
-def test_a_request_does_not_wait_for_what_its_entry_cannot_reach() -> None:
-    # cmp-flotta, scale-1: behind a cut, requests waited for the fast engines
-    # on the other side while the slow one on theirs had places.
+def test_a_request_does_not_wait_for_a_server_its_entry_cannot_reach() -> None:
+    # During a partition, requests waited for the fast engines on the other side
+    # while the slow one on theirs had free slots (seen in cmp-flotta, scale-1).
     owner = make_owner(fast=FAST, slow=SLOW)
     cut_off = msgspec.structs.replace(LONG, silent=("fast",))
     assert send(owner, cut_off) == ["slow"]
 
 
-def test_a_request_that_is_late_anywhere_takes_what_there_is() -> None:
+def test_a_request_that_is_late_on_any_server_uses_a_free_slot() -> None:
     owner = make_owner(fast=FAST, slow=SLOW)
     fill(owner, "fast")
     assert send(owner, msgspec.structs.replace(LONG, objective_s=0.05)) == [
@@ -118,7 +118,7 @@
     ]
 
 
-def test_a_long_prompt_does_not_hold_up_the_answers_beside_it() -> None:
+def test_a_long_prompt_does_not_stall_concurrent_responses() -> None:
     owner = make_owner(slow=SLOW)
     beside = msgspec.structs.replace(SHORT, max_gap_s=0.25, event_tokens=6)
     assert send(owner, beside) == ["slow"]
@@ -132,7 +132,7 @@
     assert list_granted(owner.receive("entry", ended, 1.4)) == ["slow"]
 
 
-def test_late_requests_let_those_in_time_pass() -> None:
+def test_late_requests_are_served_after_those_in_time() -> None:
     owner = make_owner(fast=FAST)
     running = fill(owner, "fast")
     late = msgspec.structs.replace(
@@ -146,7 +146,7 @@
     assert [e.message.request_id for e in granted] == ["short"]
 
 
-def test_answers_of_one_event_teach_no_pace() -> None:
+def test_a_response_of_one_event_does_not_change_the_step_time() -> None:
     owner = make_owner(fast=FAST)
     info = msgspec.structs.replace(SHORT, event_tokens=6)
     assert send(owner, info) == ["fast"]
@@ -156,7 +156,7 @@
     assert owner.fleet.backends["fast"].step_s == FAST.step_s
 
 
-def test_waiting_behind_another_prompt_is_not_slowness() -> None:
+def test_waiting_for_another_prompt_does_not_count_as_slowness() -> None:
     owner = make_owner(fast=FAST)
     known = owner.fleet.backends["fast"]
     before = known.speed.factor
@@ -170,7 +170,7 @@
     assert known.speed.factor == pytest.approx(before, rel=0.05)
 
 
-def test_an_engine_that_has_turned_slow_is_known_after_two_answers() -> None:
+def test_an_engine_that_became_slow_is_detected_after_two_responses() -> None:
     owner = make_owner(fast=FAST)
     known = owner.fleet.backends["fast"]
     for number in range(2):
@@ -184,9 +184,9 @@
     assert known.estimate_alone(300) > 0.1
 
 
-def test_a_fixed_part_is_not_taken_for_prompt_speed() -> None:
-    # cmp-flotta: one engine was believed to read between 2,000 and 988,000
-    # tokens a second within a day, from prompts of all sizes.
+def test_a_fixed_latency_is_not_mistaken_for_prefill_speed() -> None:
+    # The estimated prefill speed of one engine varied between 2,000 and 988,000
+    # tokens a second within a day, as prompts differed in size (cmp-flotta).
     owner = make_owner(fast=FAST)
     known = owner.fleet.backends["fast"]
     for number in range(40):
@@ -205,10 +205,10 @@
     assert known.estimate_alone(20_000) == pytest.approx(expected_s, rel=0.1)
 
 
-def test_a_lost_vm_does_not_make_its_engines_seem_slow() -> None:
-    # cmp-flotta, scale-1: a VM lost power; first tokens of its requests were
-    # waited for, 141 requests waited while 33 of 90 places were free, and the
-    # highest tier was refused.
+def test_requests_of_a_lost_vm_do_not_make_an_engine_seem_slow() -> None:
+    # After a VM lost power, the owner kept waiting for the first tokens of its
+    # requests: 141 requests were queued while 33 of 90 slots were free, and the
+    # highest tier was refused (seen in cmp-flotta, scale-1).
     owner = make_owner(fast=FAST)
     owner.receive("lost", message.Enqueue(SHORT), 1.0)
     owner.detach_entry("lost", 1.5)
@@ -216,7 +216,7 @@
     assert send(owner, again, 1.6) == ["fast"]
 
 
-def test_a_later_first_token_shows_that_earlier_prompts_were_read() -> None:
+def test_a_first_token_shows_that_earlier_prompts_were_processed() -> None:
     owner = make_owner(fast=FAST)
     known = owner.fleet.backends["fast"]
     owner.receive("lost", message.Enqueue(SHORT), 1.0)
@@ -226,13 +226,14 @@
     assert known.get_slowdown(2.0) == 1.0
 
 
-def test_late_requests_do_not_wait_in_vain_behind_those_in_time() -> None:
-    # cmp-flotta, scale-1: who was refused had waited for three objectives.
+def test_late_requests_are_refused_early_while_others_are_in_time() -> None:
+    # Refused requests had waited for three times their objective (seen in
+    # cmp-flotta, scale-1).
     owner = make_owner(fast=FAST)
     fill(owner, "fast")
     late = msgspec.structs.replace(SHORT, request_id="late", objective_s=0.2)
     assert send(owner, late, 1.0) == []
-    assert owner.tick(1.3) == []  # Nobody else waits.
+    assert owner.tick(1.3) == []  # No other request is queued.
     assert send(owner, SHORT, 1.31) == []
     (refused,) = owner.tick(1.35)
     assert isinstance(refused.message, message.Reject)
@@ -240,7 +241,7 @@
     assert refused.message.reason is message.Reason.OVERLOADED
 
 
-def test_an_answer_that_would_begin_at_the_last_moment_is_not_begun() -> None:
+def test_a_request_that_would_meet_its_objective_only_just_is_demoted() -> None:
     owner = make_owner(fast=FAST)
     alone_s = owner.fleet.backends["fast"].estimate_alone(SHORT.prompt_tokens)
     running = fill(owner, "fast")
@@ -250,15 +251,15 @@
     owner.tick(tight)
     (waiting,) = owner._queue.list_all()
     assert waiting.is_late
-    # It is late then, and takes the place as such if nobody else wants it.
+    # As a late request it uses the slot if no other request needs it.
     ended = message.Ended(running[0], 20, 0.06, True)
     assert list_granted(owner.receive("entry", ended, tight)) == ["fast"]
 
 
-def test_those_refused_together_are_told_to_come_back_later() -> None:
+def test_requests_refused_together_get_a_longer_retry_after() -> None:
     owner = make_owner(fast=FAST)
     now = 1.0
-    for number in range(40):  # The pace at which the shard serves.
+    for number in range(40):  # Sets the rate of grants.
         info = msgspec.structs.replace(SHORT, request_id=f"r{number}")
         assert send(owner, info, now) == ["fast"]
         first = message.FirstToken(info.request_id, 0.04, 300, 0)
@@ -273,19 +274,19 @@
             SHORT, request_id=f"w{number}", wait_s=0.2
         )
         assert send(owner, info, now) == []
-    told = [
+    retry_after_s = [
         effect.message.retry_after_s
         for effect in owner.tick(now + 0.21)
         if isinstance(effect.message, message.Reject)
     ]
-    assert len(told) == 80
-    assert max(told) > 5.0  # Ten a second were served.
-    assert max(told) <= shedding.MAX_RETRY_AFTER_S
+    assert len(retry_after_s) == 80
+    assert max(retry_after_s) > 5.0  # Ten requests a second were granted.
+    assert max(retry_after_s) <= shedding.MAX_RETRY_AFTER_S
 
 
-def test_owners_that_start_at_once_do_not_all_choose_the_same_server() -> None:
-    # Each of sixty VMs owns everything until it has found the others; forty
-    # idle servers, of which nothing is known, have four places each.
+def test_owners_that_start_together_choose_different_servers() -> None:
+    # Each of 60 VMs owns all shards until it has found the others.  There are
+    # 40 idle servers with four slots each, and their speed is unknown.
     chosen: collections.Counter[str] = collections.Counter()
     for vm in range(60):
         owner = shard.ShardOwner(
