--- a/ramptray/controller/leaseholder.py
+++ b/ramptray/controller/leaseholder.py
@@ -15,8 +15,8 @@
 
 LOG = logging.getLogger(__name__)
 
-TICK_S = 0.1
-READ_WAIT_S = 2.0
+TICK_INTERVAL_S = 0.1
+LONG_POLL_WAIT_S = 2.0
 
 
 class LeaseHolder:
@@ -39,8 +39,8 @@
     async def run(self) -> None:
         """Contends until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._read)
-            tasks.start_soon(self._write)
+            tasks.start_soon(self._follow_stream)
+            tasks.start_soon(self._contend)
 
     async def release(self) -> None:
         """Gives the lease up at a planned stop, if it is held."""
@@ -51,15 +51,15 @@
         except log_client.PlatformError as error:
             LOG.info("lease not released: %s", error)
 
-    async def _read(self) -> None:
-        pages = stream.iterate_pages(self._log, self._stream, READ_WAIT_S)
+    async def _follow_stream(self) -> None:
+        pages = stream.iterate_pages(self._log, self._stream, LONG_POLL_WAIT_S)
         async for page in pages:
             self._lease.skip_to(page.first_retained, steadyclock.read())
             for record in page.records:
-                self._take(record)
+                self._apply_record(record)
             self._caught_up = page.is_last
 
-    def _take(self, record: log_client.LogRecord) -> None:
+    def _apply_record(self, record: log_client.LogRecord) -> None:
         try:
             parsed = msgspec.convert(record.body, lease.LeaseRecord)
         except msgspec.ValidationError as error:
@@ -67,10 +67,10 @@
             return
         self._lease.read(record.offset, parsed, steadyclock.read())
 
-    async def _write(self) -> None:
+    async def _contend(self) -> None:
         while True:
-            await anyio.sleep(TICK_S)
-            self._report()
+            await anyio.sleep(TICK_INTERVAL_S)
+            self._notify_of_change()
             if not self._caught_up:
                 continue
             record = self._lease.make_record(steadyclock.read())
@@ -84,7 +84,7 @@
     async def _append(self, record: lease.LeaseRecord) -> None:
         await self._log.append(self._stream, msgspec.to_builtins(record))
 
-    def _report(self) -> None:
+    def _notify_of_change(self) -> None:
         held = self._lease.holds(steadyclock.read())
         if held != self._held:
             self._held = held
--- a/ramptray/controller/main.py
+++ b/ramptray/controller/main.py
@@ -19,8 +19,8 @@
 
 LOG = logging.getLogger(__name__)
 
-INBOX = 1000
-TERM_S = 6.0
+INBOX_CAPACITY = 1000
+LEASE_TERM_S = 6.0
 """How long a holder holds the lease after it sent a record, in seconds."""
 
 
@@ -32,7 +32,7 @@
         self._settings = settings
         self._timeline = equipment.timeline
         self._learner = acceptance.Learner()
-        times = lease.LeaseTimes(TERM_S, settings.order_timeout_s)
+        times = lease.LeaseTimes(LEASE_TERM_S, settings.order_timeout_s)
         # The name tells lives apart: a restarted controller is another holder.
         state = lease.Lease(
             f"{equipment.name}/{secrets.token_hex(4)}",
@@ -43,14 +43,14 @@
             log_client.HttpLog(settings.platform, settings.vm),
             settings.zone,
             state,
-            self._note_lease,
+            self._report_lease,
         )
         self.reconciler = reconciler.Reconciler(
             settings.zone, state, self._timeline, settings.order_timeout_s
         )
         send, self._receive = anyio.create_memory_object_stream[
             attachment.Event
-        ](INBOX)
+        ](INBOX_CAPACITY)
         self.link = attachment.Attachment(
             settings.scheduler,
             peer_message.Hello(equipment.name, settings.vm, "controller"),
@@ -62,9 +62,9 @@
         """Handles what the scheduler says until cancelled."""
         async for event in self._receive:
             if isinstance(event, attachment.Said):
-                self._hear(event.body)
+                self._handle_message(event.body)
 
-    def _hear(self, body: object) -> None:
+    def _handle_message(self, body: object) -> None:
         match body:
             case peer_message.BundleUpdate(envelope):
                 if self._learner.learn(envelope) and self._learner.in_force:
@@ -79,7 +79,7 @@
                 events = self._timeline.list_events(after, subject)
                 self.link.send(peer_message.TimelineEvents(events, number))
 
-    def _note_lease(self, held: bool, fencing: int) -> None:
+    def _report_lease(self, held: bool, fencing: int) -> None:
         kind = "lease" if held else "lease_lost"
         self._timeline.note(kind, self._settings.zone, fencing=fencing)
         self.link.send(peer_message.LeaseReport(held, fencing))
--- a/ramptray/controller/reconciler.py
+++ b/ramptray/controller/reconciler.py
@@ -14,11 +14,11 @@
 
 LOG = logging.getLogger(__name__)
 
-EVERY_S = 0.5
-TAKEOVER_S = 10.0
+RECONCILE_INTERVAL_S = 0.5
+TAKEOVER_GRACE_S = 10.0
 """How long after a takeover silent engines count as loading, in seconds."""
 
-SETTLE_S = 3.0
+UNLOAD_DELAY_S = 3.0
 """How long a bundle must be in force before old versions are unloaded."""
 
 
@@ -35,17 +35,17 @@
         self._zone = zone
         self._lease = state
         self._timeline = events
-        self._timeout_s = order_timeout_s
+        self._order_timeout_s = order_timeout_s
         self._client = orders.OrderClient(engine_client.EngineClient())
         self._in_force: acceptance.InForce | None = None
         self._lowest_generation = 0
-        self._settled_since: float | None = None
+        self._adopted_since: float | None = None
         self._held_since: float | None = None
 
     def set_bundle(self, in_force: acceptance.InForce) -> None:
         """Takes the bundle in force."""
         self._in_force = in_force
-        self._settled_since = None
+        self._adopted_since = None
 
     def set_lowest_generation(self, generation: int) -> None:
         """Takes the lowest generation that a live VM works by."""
@@ -54,7 +54,7 @@
     async def run(self) -> None:
         """Reconciles until cancelled."""
         while True:
-            await anyio.sleep(EVERY_S)
+            await anyio.sleep(RECONCILE_INTERVAL_S)
             now = steadyclock.read()
             if not self._lease.holds(now):
                 self._held_since = None
@@ -64,20 +64,20 @@
                 await self._reconcile(self._in_force.bundle, now)
 
     async def _reconcile(self, bundle: model.Bundle, now: float) -> None:
-        wishes = make_wishes(bundle, self._zone)
-        states = await self._fetch_states(bundle, list(wishes))
+        desired = make_desired_states(bundle, self._zone)
+        states = await self._fetch_states(bundle, list(desired))
         assert self._held_since is not None
-        young = now - self._held_since < TAKEOVER_S
-        silent = len(wishes) - len(states)
+        in_grace_period = now - self._held_since < TAKEOVER_GRACE_S
+        unreachable = len(desired) - len(states)
         for order in placement.plan_orders(
-            wishes,
+            desired,
             states,
             bundle.weights.loads_at_once,
-            silent if young else 0,
+            unreachable if in_grace_period else 0,
             self._may_unload(bundle, now),
         ):
             url = bundle.backend_servers[order.backend].url
-            await self._send(url, order)
+            await self._send_order(url, order)
 
     async def _fetch_states(
         self, bundle: model.Bundle, names: list[str]
@@ -99,18 +99,18 @@
     def _may_unload(self, bundle: model.Bundle, now: float) -> bool:
         """Returns whether nobody can still route by an older bundle."""
         if self._lowest_generation < bundle.generation:
-            self._settled_since = None
+            self._adopted_since = None
             return False
-        self._settled_since = self._settled_since or now
-        return now - self._settled_since > SETTLE_S
+        self._adopted_since = self._adopted_since or now
+        return now - self._adopted_since > UNLOAD_DELAY_S
 
-    async def _send(self, url: str, order: placement.Order) -> None:
+    async def _send_order(self, url: str, order: placement.Order) -> None:
         """Gives one order, if the lease still covers its flight."""
         if not self._lease.may_order(steadyclock.read()):
             return
         fencing = self._lease.fencing
         try:
-            with anyio.fail_after(self._timeout_s):
+            with anyio.fail_after(self._order_timeout_s):
                 await self._client.send(url, order, fencing)
         except (engine_client.EngineError, TimeoutError) as error:
             LOG.warning(
@@ -137,7 +137,9 @@
         )
 
 
-def make_wishes(bundle: model.Bundle, zone: str) -> dict[str, placement.Wish]:
+def make_desired_states(
+    bundle: model.Bundle, zone: str
+) -> dict[str, placement.Wish]:
     """Returns what the bundle declares for the engines of a zone."""
     return {
         name: placement.Wish(
--- a/ramptray/scheduler/attached_process.py
+++ b/ramptray/scheduler/attached_process.py
@@ -52,11 +52,11 @@
         self._sessions[session] = AttachedProcess(hello)
 
     def add_entry(self, session: peer_link.Session, name: str) -> None:
-        """Takes an entry's session and closes its former one, if any."""
-        former = self._entries.get(name)
+        """Takes an entry's session and closes its previous one, if any."""
+        previous = self._entries.get(name)
         self._entries[name] = session
-        if former is not None:
-            former.close()
+        if previous is not None:
+            previous.close()
 
     def remove(self, session: peer_link.Session) -> str | None:
         """Forgets a session.
--- a/ramptray/scheduler/claims.py
+++ b/ramptray/scheduler/claims.py
@@ -21,20 +21,20 @@
 
 LOG = logging.getLogger(__name__)
 
-GROUP_S = 0.04
+BATCH_DELAY_S = 0.04
 """How long claims are gathered before they are appended together."""
 
-GROUP_RECORDS = 500
-READ_WAIT_S = 10.0
-RETRY_S = 0.2
-TICK_S = 0.5
+MAX_BATCH_RECORDS = 500
+LONG_POLL_WAIT_S = 10.0
+RETRY_DELAY_S = 0.2
+TICK_INTERVAL_S = 0.5
 CLAIM_TIMEOUT_S = 2.0
 """How long the log may fail before a claim is given up, in seconds."""
 
-INBOX = 100_000
+INBOX_CAPACITY = 100_000
 
 
-class _Pending(msgspec.Struct):
+class _PendingClaim(msgspec.Struct):
     session: peer_link.Session
     wish: peer_message.ClaimKey
     since: float
@@ -46,21 +46,21 @@
     Args:
         log: The log.
         stream: The stream's name.
-        take_page: Called with each page.
+        on_page: Called with each page.
     """
 
     def __init__(
         self,
         log: log_client.Log,
         stream: str,
-        take_page: Callable[[log_client.Page], None],
+        on_page: Callable[[log_client.Page], None],
     ) -> None:
-        super().__init__(log, stream, READ_WAIT_S, gather_s=0.0)
-        self._take_page = take_page
+        super().__init__(log, stream, LONG_POLL_WAIT_S, gather_s=0.0)
+        self._apply_page = on_page
 
     async def take(self, page: log_client.Page, first: bool) -> None:
         """See the base class."""
-        self._take_page(page)
+        self._apply_page(page)
 
 
 class Partition(msgspec.Struct):
@@ -69,7 +69,7 @@
     number: int
     reader: ClaimReader
     ledger: claim.ClaimLedger = msgspec.field(default_factory=claim.ClaimLedger)
-    pending: dict[str, _Pending] = msgspec.field(default_factory=dict)
+    pending: dict[str, _PendingClaim] = msgspec.field(default_factory=dict)
     outbox: list[claim.ClaimRecord] = msgspec.field(default_factory=list)
     scope: anyio.CancelScope = msgspec.field(default_factory=anyio.CancelScope)
     wake: anyio.Event = msgspec.field(default_factory=anyio.Event)
@@ -88,39 +88,39 @@
         self._log = log
         self._on_decision = on_decision
         self._partitions: dict[int, Partition] = {}
-        send, receive = anyio.create_memory_object_stream[Any](INBOX)
+        send, receive = anyio.create_memory_object_stream[Any](INBOX_CAPACITY)
         self._send: memory.MemoryObjectSendStream[Any] = send
         self._receive: memory.MemoryObjectReceiveStream[Any] = receive
         self._tasks: anyio.abc.TaskGroup | None = None
 
-    def post(self, told: Any) -> None:
+    def post(self, posted: Any) -> None:
         """Puts an event into the inbox."""
-        self._send.send_nowait(told)
+        self._send.send_nowait(posted)
 
     async def run(self) -> None:
         """Handles events until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(self._run_ticks)
-            async for told in self._receive:
-                self._handle(told)
+            async for posted in self._receive:
+                self._handle(posted)
 
-    def _handle(self, told: Any) -> None:
-        match told:
+    def _handle(self, posted: Any) -> None:
+        match posted:
             case event.ClaimRequested(session, wish):
-                self._want(session, wish)
+                self._request_claim(session, wish)
             case event.ClaimReleased(release):
-                partition = self._get(release.key)
+                partition = self._get_partition(release.key)
                 partition.pending.pop(release.attempt, None)
-                self._put(
+                self._enqueue_record(
                     partition,
                     claim.ClaimRecord(
                         claim.RecordKind.RELEASE, release.key, release.attempt
                     ),
                 )
             case event.ClaimFinished(finish):
-                self._put(
-                    self._get(finish.key),
+                self._enqueue_record(
+                    self._get_partition(finish.key),
                     claim.ClaimRecord(
                         claim.RecordKind.DONE,
                         finish.key,
@@ -129,29 +129,31 @@
                     ),
                 )
             case event.PartitionsChanged(numbers):
-                self._take_partitions(numbers)
+                self._update_partitions(numbers)
 
-    def _want(
+    def _request_claim(
         self, session: peer_link.Session, wish: peer_message.ClaimKey
     ) -> None:
-        partition = self._get(wish.key)
-        known = partition.pending.get(wish.attempt)
-        if known is not None:
-            known.session = session
+        partition = self._get_partition(wish.key)
+        existing = partition.pending.get(wish.attempt)
+        if existing is not None:
+            existing.session = session
             return
-        partition.pending[wish.attempt] = _Pending(
+        partition.pending[wish.attempt] = _PendingClaim(
             session, wish, steadyclock.read()
         )
-        self._put(partition, _make_claim(wish))
+        self._enqueue_record(partition, _make_claim_record(wish))
 
-    def _put(self, partition: Partition, record: claim.ClaimRecord) -> None:
+    def _enqueue_record(
+        self, partition: Partition, record: claim.ClaimRecord
+    ) -> None:
         partition.outbox.append(record)
         partition.wake.set()
 
-    def _get(self, key: str) -> Partition:
-        return self._open(claim.get_partition(key))
+    def _get_partition(self, key: str) -> Partition:
+        return self._open_partition(claim.get_partition(key))
 
-    def _open(self, number: int) -> Partition:
+    def _open_partition(self, number: int) -> Partition:
         if number not in self._partitions:
             partition = self._make_partition(number)
             self._partitions[number] = partition
@@ -161,15 +163,15 @@
 
     def _make_partition(self, number: int) -> Partition:
         def take(page: log_client.Page) -> None:
-            self._take_page(partition, page)
+            self._apply_page(partition, page)
 
         name = f"claims-{number}"
         partition = Partition(number, ClaimReader(self._log, name, take))
         return partition
 
-    def _take_partitions(self, numbers: frozenset[int]) -> None:
+    def _update_partitions(self, numbers: frozenset[int]) -> None:
         for number in numbers:
-            self._open(number)
+            self._open_partition(number)
         for number, partition in list(self._partitions.items()):
             busy = partition.pending or partition.outbox
             if number not in numbers and not busy:
@@ -179,56 +181,61 @@
     async def _run_partition(self, partition: Partition) -> None:
         with partition.scope:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._write, partition)
+                tasks.start_soon(self._append_batches, partition)
                 await partition.reader.run()
 
-    async def _write(self, partition: Partition) -> None:
+    async def _append_batches(self, partition: Partition) -> None:
         while True:
             await partition.wake.wait()
-            await anyio.sleep(GROUP_S)
+            await anyio.sleep(BATCH_DELAY_S)
             partition.wake = anyio.Event()
-            group = partition.outbox[:GROUP_RECORDS]
-            if not group:
+            batch = partition.outbox[:MAX_BATCH_RECORDS]
+            if not batch:
                 continue
-            body = {"records": [_format(record) for record in group]}
+            body = {"records": [_to_builtins(record) for record in batch]}
             try:
                 offset = await self._log.append(partition.reader.stream, body)
             except log_client.PlatformError as error:
                 # The append may yet take effect; to say it twice is harmless.
                 LOG.info("claims not appended: %s", error)
-                await anyio.sleep(RETRY_S)
+                await anyio.sleep(RETRY_DELAY_S)
             else:
-                del partition.outbox[: len(group)]
+                del partition.outbox[: len(batch)]
                 # If the read that waits was lost, this tells so.
                 partition.reader.note_told(offset + 1)
             if partition.outbox:
                 partition.wake.set()
 
-    def _take_page(self, partition: Partition, page: log_client.Page) -> None:
+    def _apply_page(self, partition: Partition, page: log_client.Page) -> None:
         for record in page.records:
-            self._take(partition, record.body)
-        self._decide(partition)
+            self._apply_records(partition, record.body)
+        self._decide_pending(partition)
 
-    def _take(self, partition: Partition, body: dict[str, Any]) -> None:
+    def _apply_records(
+        self, partition: Partition, body: dict[str, Any]
+    ) -> None:
         try:
             records = msgspec.convert(
                 body.get("records"), list[claim.ClaimRecord]
             )
         except msgspec.ValidationError as error:
-            LOG.warning("record is not a group of claims: %s", error)
+            LOG.warning("record is not a batch of claims: %s", error)
             return
         for record in records:
             partition.ledger.read(record)
 
-    def _decide(self, partition: Partition) -> None:
+    def _decide_pending(self, partition: Partition) -> None:
         for attempt, pending in list(partition.pending.items()):
             wish = pending.wish
             verdict = partition.ledger.judge(wish.key, attempt, wish.digest)
             if verdict is not None:
-                self._answer(partition, pending, verdict)
+                self._send_decision(partition, pending, verdict)
 
-    def _answer(
-        self, partition: Partition, pending: _Pending, verdict: claim.Verdict
+    def _send_decision(
+        self,
+        partition: Partition,
+        pending: _PendingClaim,
+        verdict: claim.Verdict,
     ) -> None:
         wish = pending.wish
         del partition.pending[wish.attempt]
@@ -240,29 +247,29 @@
 
     async def _run_ticks(self) -> None:
         while True:
-            await anyio.sleep(TICK_S)
-            overdue = steadyclock.read() - CLAIM_TIMEOUT_S
+            await anyio.sleep(TICK_INTERVAL_S)
+            expires_before = steadyclock.read() - CLAIM_TIMEOUT_S
             for partition in list(self._partitions.values()):
                 partition.reader.check_underway()
                 for pending in list(partition.pending.values()):
-                    if pending.since < overdue:
-                        self._give_up(partition, pending)
+                    if pending.since < expires_before:
+                        self._expire(partition, pending)
 
-    def _give_up(self, partition: Partition, pending: _Pending) -> None:
+    def _expire(self, partition: Partition, pending: _PendingClaim) -> None:
         """Answers that the log cannot be asked.
 
-        Only the entry may release the attempt: it may have been told by
+        Only the entry may release the attempt: it may have been posted by
         another scheduler that the attempt holds the key, and have dispatched.
         """
-        self._answer(partition, pending, claim.Verdict.UNAVAILABLE)
+        self._send_decision(partition, pending, claim.Verdict.UNAVAILABLE)
 
 
-def _make_claim(wish: peer_message.ClaimKey) -> claim.ClaimRecord:
+def _make_claim_record(wish: peer_message.ClaimKey) -> claim.ClaimRecord:
     return claim.ClaimRecord(
         claim.RecordKind.CLAIM, wish.key, wish.attempt, wish.digest
     )
 
 
-def _format(record: claim.ClaimRecord) -> dict[str, Any]:
+def _to_builtins(record: claim.ClaimRecord) -> dict[str, Any]:
     fields: dict[str, Any] = msgspec.to_builtins(record)
     return fields
--- a/ramptray/scheduler/content_blocker.py
+++ b/ramptray/scheduler/content_blocker.py
@@ -14,7 +14,7 @@
 RequestUpdate = (
     message.Withdraw | message.Decline | message.FirstToken | message.Ended
 )
-"""What is told of a request to whoever holds it."""
+"""What is update of a request to whoever holds it."""
 
 
 class ContentBlocker:
@@ -49,23 +49,23 @@
             request.request_id, message.Reason.BLOCKED, left_s
         )
 
-    def learn(
-        self, owner: shard.ShardOwner, told: RequestUpdate, now: float
+    def observe(
+        self, owner: shard.ShardOwner, update: RequestUpdate, now: float
     ) -> None:
         """Learns what a request did, before the owner frees its place."""
-        match told:
+        match update:
             case message.Decline(request_id, _, True):
                 # It had not reached the backend server.
                 self.detector.note_absence(request_id)
             case message.Ended():
-                self._note_ended(owner, told, now)
+                self._record_end(owner, update, now)
 
-    def _note_ended(
+    def _record_end(
         self, owner: shard.ShardOwner, ended: message.Ended, now: float
     ) -> None:
         placed = owner.fleet.get_placed(ended.request_id)
-        known = owner.fleet.find(ended.request_id)
-        if placed is None or known is None:
+        server = owner.fleet.find(ended.request_id)
+        if placed is None or server is None:
             return
         if ended.whole:
             content = placed.request.content
@@ -74,14 +74,14 @@
                     "block lifted",
                     extra={"content": content, "origin": "it ended well"},
                 )
-            self._tell(self.detector.note_whole(content, now), now)
+            self._log_blocked(self.detector.note_whole(content, now), now)
             return
-        if not ended.gone or known.state is backend.BackendState.LEAVING:
+        if not ended.gone or server.state is backend.BackendState.LEAVING:
             # Whoever leaves ends as planned, with whatever is left there.
             return
-        self._note_crash(known, now)
+        self._record_crash(server, now)
 
-    def _note_crash(self, known: backend.Backend, now: float) -> None:
+    def _record_crash(self, server: backend.Backend, now: float) -> None:
         runners = {
             request_id: suspicion.Runner(
                 request_id,
@@ -91,17 +91,17 @@
                 if placed.answers_since is None
                 else now - placed.answers_since,
             )
-            for request_id, placed in known.placed.items()
+            for request_id, placed in server.placed.items()
         }
-        crash = suspicion.Crash(known.info.name, known.info.run, now, runners)
+        crash = suspicion.Crash(server.info.name, server.info.run, now, runners)
         if self.detector.has_ended(crash):
             return
         verdicts = self.detector.note_crash(crash)
         self.on_crash()
         self._timeline.note(
             "crash",
-            known.info.name,
-            run=known.info.run,
+            server.info.name,
+            run=server.info.run,
             runners=[
                 {
                     "request": runner.request_id,
@@ -112,9 +112,11 @@
                 for runner in runners.values()
             ],
         )
-        self._tell(verdicts, now)
+        self._log_blocked(verdicts, now)
 
-    def _tell(self, verdicts: list[suspicion.Verdict], now: float) -> None:
+    def _log_blocked(
+        self, verdicts: list[suspicion.Verdict], now: float
+    ) -> None:
         for verdict in verdicts:
             block = verdict.block
             LOG.warning(
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -43,14 +43,14 @@
 
 LOG = logging.getLogger(__name__)
 
-TICK_S = 0.1
-IDLE_TICK_S = 0.5
-STILL_WAITING_S = 0.18
+TICK_INTERVAL_S = 0.1
+IDLE_TICK_INTERVAL_S = 0.5
+STILL_WAITING_INTERVAL_S = 0.18
 """How long an entry with waiting requests gets no message, in seconds:
 less than half of the time after which it takes its owner for lost."""
 
-SUMMARY_EVERY_S = 0.5
-IDLE_SHARD_S = 5.0
+SUMMARY_INTERVAL_S = 0.5
+IDLE_SHARD_TIMEOUT_S = 5.0
 """How long a shard that is owned elsewhere is kept while it is empty."""
 
 
@@ -96,7 +96,7 @@
         blocks: blocklist.Blocklist | None = None,
     ) -> None:
         self.blocks = blocklist.Blocklist() if blocks is None else blocks
-        self.blocks.on_change(self._spread_blocks)
+        self.blocks.on_change(self._propagate_blocks)
         self.content_blocker = content_blocker.ContentBlocker(
             self.blocks, events
         )
@@ -114,13 +114,13 @@
         self._limits = limit.Limits({}) if options.shares_limits else None
         self._attached = attached_process.AttachedProcesses()
         self._observations = observations.BackendObservations()
-        self._leaving_listed: frozenset[str] = frozenset()
-        self._leaving_said: set[str] = set()
+        self._listed_leaving: frozenset[str] = frozenset()
+        self._reported_leaving: set[str] = set()
         self._empty_since: dict[message.ShardKey, float] = {}
-        self._summaries_at = 0.0
-        self._lowest = 0
-        self._owned: dict[str, bool] = {}
-        self._queries = query.TimelineQueries()
+        self._summaries_sent_at = 0.0
+        self._lowest_generation = 0
+        self._ownership: dict[str, bool] = {}
+        self._timeline_queries = query.TimelineQueries()
         self._has_work = anyio.Event()
         self._mailbox = mailbox.Mailbox(
             lambda posted: self._handle(posted, steadyclock.read())
@@ -139,14 +139,14 @@
     def owns(self, key: message.ShardKey) -> bool:
         """Returns whether this scheduler owns a shard in its own view."""
         name = key.get_owner_key(self._options.shares_limits)
-        if name not in self._owned:
+        if name not in self._ownership:
             strongest = membership.list_strongest(self.view.members)
             members = {m.vm: m.address for m in strongest}
             owner = membership.pick_owner(name, list(members))
-            self._owned[name] = (
+            self._ownership[name] = (
                 owner is not None and members[owner] == self._address
             )
-        return self._owned[name]
+        return self._ownership[name]
 
     def list_owned_backends(self) -> list[str]:
         """Returns the backend servers that this scheduler polls."""
@@ -165,82 +165,82 @@
         while True:
             if all(owner.is_empty for owner in self.shards.values()):
                 self._has_work = anyio.Event()
-                with anyio.move_on_after(IDLE_TICK_S):
+                with anyio.move_on_after(IDLE_TICK_INTERVAL_S):
                     await self._has_work.wait()
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(TICK_INTERVAL_S)
             self._tick(steadyclock.read())
 
     def _handle(self, posted: Any, now: float) -> None:
         match posted:
             case event.MessageReceived(session, body):
-                self._receive_from(session, body, now)
+                self._handle_message(session, body, now)
             case event.SessionOpened(session):
                 self._attached.open(session)
             case event.SessionClosed(session):
                 self._close(session, now)
             case event.BundleChanged(in_force):
-                self._take_bundle(in_force)
+                self._apply_bundle(in_force)
                 self._open_own_shards(now)
             case event.ViewChanged(view):
-                self._take_view(view)
+                self._apply_view(view)
                 self._open_own_shards(now)
             case event.LowestGenerationChanged(generation):
-                self._lowest = generation
+                self._lowest_generation = generation
                 for session, attached in self._attached:
                     if attached.hello.kind == "controller":
                         session.send(peer_message.LowestGeneration(generation))
             case event.LoadReported(name, report):
-                self._take_report(name, report)
+                self._apply_load_report(name, report)
             case event.CacheChanged(name, changes):
-                self._take_cache_changes(name, changes)
+                self._apply_cache_changes(name, changes)
             case event.LeavingBackendsListed(names):
-                self._leaving_listed = names
-                self._mark_leaving()
+                self._listed_leaving = names
+                self._update_leaving_states()
             case event.ClaimDecided(session, decision):
                 session.send(decision)
             case event.TimelineRequested():
-                self._ask_for_events(posted)
+                self._request_events(posted)
 
-    def _ask_for_events(self, wanted: event.TimelineRequested) -> None:
+    def _request_events(self, wanted: event.TimelineRequested) -> None:
         vm = self._gossiper.membership.me.vm
         asked = [
             session
             for session, attached in self._attached
             if attached.hello.vm == vm
         ]
-        self._queries.ask(wanted, asked)
+        self._timeline_queries.ask(wanted, asked)
 
     # Attached processes.
 
-    def _receive_from(
+    def _handle_message(
         self, session: peer_link.Session, body: Any, now: float
     ) -> None:
         attached = self._attached.get(session)
         match body:
             case peer_message.Hello():
-                self._greet(session, body)
+                self._handle_hello(session, body)
             case _ if attached is None:
                 session.close()
             case message.SyncDone(entry):
                 for owner in self.shards.values():
-                    self._send_out(owner.receive(entry, body, now))
+                    self._send_effects(owner.receive(entry, body, now))
             case message.SpeedLearned(name):
                 self._observations.speeds[name] = body
                 for owner in self.shards.values():
                     owner.receive(attached.hello.name, body, now)
             case message.ServerHints():
-                self._take_server_hints(attached, body, now)
+                self._apply_server_hints(attached, body, now)
             case message.Enqueue(info) | message.Running(info):
-                self._pass_to_shard(attached, info.shard, body, now)
+                self._forward_to_shard(attached, info.shard, body, now)
             case (
                 message.Withdraw()
                 | message.Decline()
                 | message.FirstToken()
                 | message.Ended()
             ):
-                self._pass_to_holder(attached, body, now)
+                self._forward_to_request_owner(attached, body, now)
             case peer_message.TimelineEvents():
-                self._queries.forward_answer(session, body)
+                self._timeline_queries.forward_answer(session, body)
             case peer_message.BlockedContents(blocks):
                 new = self.blocks.take(blocks, now)
                 blocked.log_taken(new, attached.hello.name)
@@ -260,17 +260,17 @@
             case peer_message.FinishKey():
                 self._claim_manager.post(event.ClaimFinished(body))
 
-    def _take_server_hints(
+    def _apply_server_hints(
         self,
         attached: attached_process.AttachedProcess,
         hints: message.ServerHints,
         now: float,
     ) -> None:
-        self._observations.take_hints(hints, attached.hello.name, now)
+        self._observations.record_hints(hints, attached.hello.name, now)
         for owner in self.shards.values():
-            self._send_out(owner.receive(attached.hello.name, hints, now))
+            self._send_effects(owner.receive(attached.hello.name, hints, now))
 
-    def _greet(
+    def _handle_hello(
         self, session: peer_link.Session, hello: peer_message.Hello
     ) -> None:
         self._attached.add(session, hello)
@@ -278,7 +278,7 @@
         if self.in_force and self._options.sends_bundle:
             session.send(peer_message.BundleUpdate(self.in_force.envelope))
         if hello.kind != "entry":
-            session.send(peer_message.LowestGeneration(self._lowest))
+            session.send(peer_message.LowestGeneration(self._lowest_generation))
             return
         if len(self.blocks):
             news = self.blocks.list_news(steadyclock.read())
@@ -302,14 +302,14 @@
         return peer_message.View([], [])
 
     def _close(self, session: peer_link.Session, now: float) -> None:
-        self._queries.drop_session(session)
+        self._timeline_queries.drop_session(session)
         lost = self._attached.remove(session)
         if lost is None:
             return
         for owner in self.shards.values():
             owner.detach_entry(lost, now)
 
-    def _pass_to_shard(
+    def _forward_to_shard(
         self,
         attached: attached_process.AttachedProcess,
         key: message.ShardKey,
@@ -319,26 +319,26 @@
         if isinstance(body, message.Enqueue):
             reject = self.content_blocker.check(body.request, now)
             if reject is not None:
-                self._send_out(
+                self._send_effects(
                     [owner_effect.SendToEntry(attached.hello.name, reject)]
                 )
                 return
         owner = self._get_shard(key, now)
         self._has_work.set()
         if owner is not None:
-            self._send_out(owner.receive(attached.hello.name, body, now))
+            self._send_effects(owner.receive(attached.hello.name, body, now))
             if isinstance(body, message.Enqueue):
-                self._confirm(attached, owner, body.request.request_id)
+                self._confirm_queued(attached, owner, body.request.request_id)
             return
         if isinstance(body, message.Enqueue):
             reject = message.Reject(
                 body.request.request_id, message.Reason.NOT_READY, 1.0
             )
-            self._send_out(
+            self._send_effects(
                 [owner_effect.SendToEntry(attached.hello.name, reject)]
             )
 
-    def _confirm(
+    def _confirm_queued(
         self,
         attached: attached_process.AttachedProcess,
         owner: shard.ShardOwner,
@@ -349,9 +349,9 @@
         An entry without a reply takes the owner for lost.
         """
         if owner.is_waiting(request_id):
-            self._tell_entry(attached.hello.name, message.Queued(request_id))
+            self._send_to_entry(attached.hello.name, message.Queued(request_id))
 
-    def _pass_to_holder(
+    def _forward_to_request_owner(
         self,
         attached: attached_process.AttachedProcess,
         body: content_blocker.RequestUpdate,
@@ -359,12 +359,12 @@
     ) -> None:
         for owner in self.shards.values():
             if owner.holds(body.request_id):
-                self.content_blocker.learn(owner, body, now)
+                self.content_blocker.observe(owner, body, now)
                 out = owner.receive(attached.hello.name, body, now)
-                self._send_out(out)
+                self._send_effects(out)
                 return
 
-    def _spread_blocks(self, news: list[blocklist.BlockNews]) -> None:
+    def _propagate_blocks(self, news: list[blocklist.BlockNews]) -> None:
         """Tells the entries, and refuses what waits here."""
         spread = peer_message.BlockedContents(news)
         for session, attached in self._attached:
@@ -374,21 +374,25 @@
             if each.lifted:
                 continue
             for owner in self.shards.values():
-                self._send_out(owner.refuse_waiting(each.content, each.left_s))
+                self._send_effects(
+                    owner.refuse_waiting(each.content, each.left_s)
+                )
 
-    def _send_out(self, effects: Iterable[owner_effect.SendToEntry]) -> None:
+    def _send_effects(
+        self, effects: Iterable[owner_effect.SendToEntry]
+    ) -> None:
         for effect in effects:
-            self._tell_entry(effect.entry, effect.message)
-            self._note(effect)
+            self._send_to_entry(effect.entry, effect.message)
+            self._record_effect(effect)
 
-    def _tell_entry(
+    def _send_to_entry(
         self,
         entry: str,
         sent: message.OwnerMessage | message.Queued | message.StillWaiting,
     ) -> None:
         self._attached.send(entry, sent, steadyclock.read())
 
-    def _note(self, effect: owner_effect.SendToEntry) -> None:
+    def _record_effect(self, effect: owner_effect.SendToEntry) -> None:
         basis = {
             "entry": effect.entry,
             "generation": self.in_force.generation if self.in_force else None,
@@ -435,11 +439,11 @@
             owner.fleet.take_hints(hints, entry, now)
         self.shards[key] = owner
         self._apply_rollout(key, owner)
-        self._mark_leaving()
+        self._update_leaving_states()
         self.on_new_backends()
         return owner
 
-    def _take_bundle(self, in_force: acceptance.InForce) -> None:
+    def _apply_bundle(self, in_force: acceptance.InForce) -> None:
         self.in_force = in_force
         bundle = in_force.bundle
         self._observations.discard_except(
@@ -458,7 +462,7 @@
                 rules.list_backend_infos(bundle, key),
             )
             self._apply_rollout(key, owner)
-        self._mark_leaving()
+        self._update_leaving_states()
         self.on_new_backends()
         self.timeline.note("bundle", f"generation-{bundle.generation}")
         LOG.info("bundle in force", extra={"generation": bundle.generation})
@@ -470,11 +474,11 @@
         order = self.in_force.bundle.rollouts.get(key.service)
         self.rollouts.set_order(owner, order, self.owns(key))
 
-    def _take_view(self, view: peer_message.View) -> None:
+    def _apply_view(self, view: peer_message.View) -> None:
         former = {m.vm for m in self.view.members}
         self.view = view
-        self._owned.clear()
-        self._divide_limits()
+        self._ownership.clear()
+        self._update_limit_share()
         if self._claim_manager is not None:
             partitions = self._list_partitions()
             self._claim_manager.post(event.PartitionsChanged(partitions))
@@ -491,13 +495,13 @@
             gone=sorted(former - present),
         )
 
-    def _divide_limits(self) -> None:
+    def _update_limit_share(self) -> None:
         """Takes the part of limits held by all services that is ours."""
         if self._limits is not None:
             key = message.ShardKey(self._zone, "")
-            stands_in = not self.owns(key)
-            part = self._gossiper.get_limit_share(stands_in)
-            self._limits.set_part(part, stands_in)
+            is_stand_in = not self.owns(key)
+            part = self._gossiper.get_limit_share(is_stand_in)
+            self._limits.set_part(part, is_stand_in)
 
     def _open_own_shards(self, now: float) -> None:
         """Opens each own shard, so that other zones learn of its room."""
@@ -516,7 +520,7 @@
             if self.owns(message.ShardKey(self._zone, claim.SERVICE, number))
         )
 
-    def _take_report(
+    def _apply_load_report(
         self, name: str, report: engine_client.LoadReport | None
     ) -> None:
         if report is None:
@@ -531,12 +535,12 @@
                 report.step_s,
             )
         if report.leaving:
-            self._leaving_said.add(name)
+            self._reported_leaving.add(name)
         else:
-            self._leaving_said.discard(name)
-        self._mark_leaving()
+            self._reported_leaving.discard(name)
+        self._update_leaving_states()
 
-    def _take_cache_changes(
+    def _apply_cache_changes(
         self, name: str, changes: engine_client.CacheEvents
     ) -> None:
         for owner in self.shards.values():
@@ -544,8 +548,8 @@
                 known.cache.drop(changes.removed)
                 known.cache.add(changes.stored)
 
-    def _mark_leaving(self) -> None:
-        leaving = self._leaving_listed | self._leaving_said
+    def _update_leaving_states(self) -> None:
+        leaving = self._listed_leaving | self._reported_leaving
         for owner in self.shards.values():
             for name in owner.fleet.backends:
                 left = name in leaving or not owner.fleet.wants(name)
@@ -559,16 +563,16 @@
     def _tick(self, now: float) -> None:
         for key, owner in self.shards.items():
             self.rollouts.advance(owner, self.owns(key), now)
-            self._send_out(owner.tick(now))
+            self._send_effects(owner.tick(now))
             for entry, count in owner.list_waiting_entries().items():
                 silence_s = self._attached.get_idle_time(entry, now)
-                if silence_s >= STILL_WAITING_S:
-                    self._tell_entry(entry, message.StillWaiting(count))
-        if now - self._summaries_at >= SUMMARY_EVERY_S:
-            self._summaries_at = now
-            self._divide_limits()
+                if silence_s >= STILL_WAITING_INTERVAL_S:
+                    self._send_to_entry(entry, message.StillWaiting(count))
+        if now - self._summaries_sent_at >= SUMMARY_INTERVAL_S:
+            self._summaries_sent_at = now
+            self._update_limit_share()
             self._exchange_summaries(now)
-            self._drop_foreign_shards(now)
+            self._close_idle_shards(now)
 
     def _exchange_summaries(self, now: float) -> None:
         mine = [
@@ -582,13 +586,13 @@
                 self._gossiper.summaries.list_remote(key, now)
             )
 
-    def _drop_foreign_shards(self, now: float) -> None:
+    def _close_idle_shards(self, now: float) -> None:
         for key, owner in list(self.shards.items()):
             if self.owns(key) or not owner.is_empty:
                 self._empty_since.pop(key, None)
                 continue
             since = self._empty_since.setdefault(key, now)
-            if now - since > IDLE_SHARD_S:
+            if now - since > IDLE_SHARD_TIMEOUT_S:
                 del self.shards[key]
                 del self._empty_since[key]
 
--- a/ramptray/scheduler/main.py
+++ b/ramptray/scheduler/main.py
@@ -28,7 +28,7 @@
 
 LOG = logging.getLogger(__name__)
 
-LEAVE_S = 1.0
+LEAVE_DELAY_S = 1.0
 """How long attached processes get to move what waits, in seconds."""
 
 
@@ -41,12 +41,12 @@
         settings.vm, settings.zone, settings.listen, int(time.time())
     )
     rng = random.Random()
-    follow = follower.BundleFollower(
+    bundle_follower = follower.BundleFollower(
         log,
         settings.trust,
         client,
         rng,
-        lambda in_force: _announce(in_force, owner, gossiper),
+        lambda in_force: _adopt_bundle(in_force, owner, gossiper),
     )
     gossiper = gossip.Gossiper(
         me,
@@ -55,10 +55,10 @@
         rng,
         lambda view: owner.post(event.ViewChanged(view)),
         lambda lowest: owner.post(event.LowestGenerationChanged(lowest)),
-        follow.fetch,
-        follow,
+        bundle_follower.fetch,
+        bundle_follower,
     )
-    desk = claims.ClaimManager(
+    claim_manager = claims.ClaimManager(
         log,
         lambda session, decision: owner.post(
             event.ClaimDecided(session, decision)
@@ -69,17 +69,17 @@
         settings.zone,
         hub.Options(settings.policy),
         gossiper,
-        desk,
+        claim_manager,
         events,
     )
-    poll = poller.Poller(
+    backend_poller = poller.Poller(
         owner,
         gossiper,
         vmlist.VmList(settings.platform, settings.zone, settings.vm),
         settings.report_every_s,
     )
     server = peer_server.PeerServer(
-        handler.SchedulerHandler(owner, gossiper, follow, events),
+        handler.SchedulerHandler(owner, gossiper, bundle_follower, events),
         equipment.clock,
         settings.tls,
     )
@@ -91,21 +91,21 @@
     async with anyio.create_task_group() as tasks:
         for task in (
             owner.run,
-            desk.run,
-            follow.run,
+            claim_manager.run,
+            bundle_follower.run,
             gossiper.run,
-            poll.run,
+            backend_poller.run,
         ):
             tasks.start_soon(task)
         await stop.event.wait()
         await gossiper.leave()
-        await anyio.sleep(LEAVE_S)
+        await anyio.sleep(LEAVE_DELAY_S)
         await server.stop()
         await client.close()
         tasks.cancel_scope.cancel()
 
 
-def _announce(
+def _adopt_bundle(
     in_force: acceptance.InForce,
     owner: hub.Hub,
     gossiper: gossip.Gossiper,
--- a/ramptray/scheduler/observations.py
+++ b/ramptray/scheduler/observations.py
@@ -25,7 +25,7 @@
         # By entry and server: the server's run, and when the pause ends.
         self._pauses: dict[tuple[str, str], tuple[int, float]] = {}
 
-    def take_hints(
+    def record_hints(
         self, hints: message.ServerHints, origin: str, now: float
     ) -> None:
         """Takes a server's hints.
@@ -35,21 +35,21 @@
             origin: The entry that sent them, which the pause is for.
             now: The scheduler's clock in seconds.
         """
-        former = self._hints.get(hints.backend)
-        hints = hints.follow(former)
+        previous = self._hints.get(hints.backend)
+        hints = hints.follow(previous)
         if hints.pause_s > 0.0:
             pause = (hints.run, now + hints.pause_s)
             self._pauses[origin, hints.backend] = pause
         # Of a pause what is left differs each time.
-        lasting = msgspec.structs.replace(hints, pause_s=0.0)
-        if lasting == former and not hints.pause_s:
+        without_pause = msgspec.structs.replace(hints, pause_s=0.0)
+        if without_pause == previous and not hints.pause_s:
             return
-        self._hints[hints.backend] = lasting
+        self._hints[hints.backend] = without_pause
         LOG.info(
             "server hints taken",
             extra={
                 **msgspec.structs.asdict(hints),
-                "former_per_s": former and former.limit_per_s,
+                "former_per_s": previous and previous.limit_per_s,
                 "origin": origin,
             },
         )
--- a/ramptray/scheduler/query.py
+++ b/ramptray/scheduler/query.py
@@ -20,23 +20,23 @@
 class TimelineQueries:
     """Passes each question on and hands its answers back.
 
-    The stream of a question's answers closes with the last of those asked.
+    The stream of a question's answers closes with the last of those sessions.
     """
 
     def __init__(self) -> None:
-        self._numbers = itertools.count(1)
-        self._open: dict[tuple[int, peer_link.Session], _Answers] = {}
+        self._tickets = itertools.count(1)
+        self._pending: dict[tuple[int, peer_link.Session], _Answers] = {}
 
     def ask(
         self,
         wanted: event.TimelineRequested,
-        asked: Iterable[peer_link.Session],
+        sessions: Iterable[peer_link.Session],
     ) -> None:
         """Asks some attached processes."""
-        number = next(self._numbers)
-        question = msgspec.structs.replace(wanted.question, ticket=number)
-        for session in asked:
-            self._open[number, session] = wanted.answers.clone()
+        ticket = next(self._tickets)
+        question = msgspec.structs.replace(wanted.question, ticket=ticket)
+        for session in sessions:
+            self._pending[ticket, session] = wanted.answers.clone()
             session.send(question)
         wanted.answers.close()
 
@@ -44,12 +44,12 @@
         self, session: peer_link.Session, events: peer_message.TimelineEvents
     ) -> None:
         """Takes the answer of a process."""
-        answers = self._open.pop((events.ticket, session), None)
+        answers = self._pending.pop((events.ticket, session), None)
         if answers is not None:
             with contextlib.suppress(anyio.BrokenResourceError), answers:
                 answers.send_nowait(events)
 
     def drop_session(self, session: peer_link.Session) -> None:
         """Notes that a process has gone and answers nothing any more."""
-        for key in [key for key in self._open if key[1] is session]:
-            self._open.pop(key).close()
+        for key in [key for key in self._pending if key[1] is session]:
+            self._pending.pop(key).close()
--- a/ramptray/scheduler/rollouts.py
+++ b/ramptray/scheduler/rollouts.py
@@ -67,7 +67,7 @@
         self, list_owners: Callable[[], Iterable[shard.ShardOwner]]
     ) -> None:
         self.verdicts = VerdictStore()
-        self.verdicts.on_change(self._take_verdict)
+        self.verdicts.on_change(self._apply_verdict)
         self.on_verdict: Callable[[rollout.Verdict], None] = _ignore_verdict
         self._list_owners = list_owners
 
@@ -110,7 +110,7 @@
             self.verdicts.merge([verdict])
             self.on_verdict(verdict)
 
-    def _take_verdict(self, verdict: rollout.Verdict) -> None:
+    def _apply_verdict(self, verdict: rollout.Verdict) -> None:
         for owner in self._list_owners():
             found = owner.releases.rollout
             if found and owner.shard.service == verdict.service:
@@ -122,43 +122,43 @@
 
     Args:
         kept: Where verdicts are kept.
-        book: What this VM knows.
+        store: What this VM knows.
     """
 
-    def __init__(self, kept: verdictlog.VerdictLog, book: VerdictStore) -> None:
-        self._kept = kept
-        self._store = book
-        self._wanted: dict[str, rollout.Verdict] = {}
-        self._has_wanted = anyio.Event()
+    def __init__(
+        self, kept: verdictlog.VerdictLog, store: VerdictStore
+    ) -> None:
+        self._verdict_log = kept
+        self._store = store
+        self._pending: dict[str, rollout.Verdict] = {}
+        self._has_pending = anyio.Event()
 
     def enqueue(self, verdict: rollout.Verdict) -> None:
         """Has a verdict kept; the newest of a service replaces others."""
-        self._wanted[verdict.service] = verdict
-        self._has_wanted.set()
+        self._pending[verdict.service] = verdict
+        self._has_pending.set()
 
     async def run(self) -> None:
         """Keeps verdicts until cancelled."""
         while True:
-            await self._has_wanted.wait()
-            self._has_wanted = anyio.Event()
-            for service, verdict in list(self._wanted.items()):
-                await self._try_to_keep(service, verdict)
+            await self._has_pending.wait()
+            self._has_pending = anyio.Event()
+            for service, verdict in list(self._pending.items()):
+                await self._save(service, verdict)
 
-    async def _try_to_keep(
-        self, service: str, verdict: rollout.Verdict
-    ) -> None:
+    async def _save(self, service: str, verdict: rollout.Verdict) -> None:
         try:
-            kept = await self._kept.save(verdict)
+            kept = await self._verdict_log.save(verdict)
         except log_error.LogError as error:
             LOG.warning(
                 "verdict not kept yet",
                 extra={"service": service, "detail": str(error)},
             )
             await anyio.sleep(RETRY_DELAY_S)
-            self._has_wanted.set()
+            self._has_pending.set()
             return
-        if self._wanted.get(service) is verdict:
-            del self._wanted[service]
+        if self._pending.get(service) is verdict:
+            del self._pending[service]
         LOG.info("verdict kept", extra=msgspec.to_builtins(kept))
         self._store.merge([msgspec.structs.replace(kept, is_kept=True)])
 
--- a/ramptray/scheduler/rules.py
+++ b/ramptray/scheduler/rules.py
@@ -12,7 +12,7 @@
 ) -> shard_rules.ShardRules:
     """Returns the rules of a shard."""
     service = bundle.services[key.service]
-    parts = service.shards * len(bundle.zones)
+    divisor = service.shards * len(bundle.zones)
     return shard_rules.ShardRules(
         ranks=bundle.get_ranks(),
         queue_cost=service.queue_tokens // service.shards,
@@ -21,11 +21,11 @@
         version=f"{key.service}@{service.version}",
         limits={
             name: limit.RateLimit(
-                _divide(customer.limits.requests_per_s, parts),
-                _divide(customer.limits.tokens_per_s, parts),
-                _divide(customer.limits.burst, parts),
+                _divide(customer.limits.requests_per_s, divisor),
+                _divide(customer.limits.tokens_per_s, divisor),
+                _divide(customer.limits.burst, divisor),
                 customer.limits.span_s,
-                customer.limits.span_total / parts,
+                customer.limits.span_total / divisor,
             )
             for name, customer in bundle.customers.items()
             if customer.limits != model.Limits()
@@ -66,5 +66,5 @@
     )
 
 
-def _divide(rate: float | None, parts: int) -> float | None:
-    return None if rate is None else rate / parts
+def _divide(rate: float | None, divisor: int) -> float | None:
+    return None if rate is None else rate / divisor
--- a/ramptray/scheduler/status.py
+++ b/ramptray/scheduler/status.py
@@ -10,7 +10,9 @@
 
 
 def make_report(
-    owner: hub.Hub, gossiper: gossip.Gossiper, follow: source.BundleSource
+    owner: hub.Hub,
+    gossiper: gossip.Gossiper,
+    bundle_source: source.BundleSource,
 ) -> dict[str, Any]:
     """Returns what this scheduler sees, as JSON values."""
     me = gossiper.membership.me
@@ -19,9 +21,11 @@
         "zone": me.zone,
         "address": me.address,
         "generation": me.generation,
-        "digest": follow.in_force.envelope.digest if follow.in_force else None,
-        "log_up": follow.log_up,
-        "log_age_s": follow.get_log_age(steadyclock.read()),
+        "digest": bundle_source.in_force.envelope.digest
+        if bundle_source.in_force
+        else None,
+        "log_up": bundle_source.log_up,
+        "log_age_s": bundle_source.get_log_age(steadyclock.read()),
         "asked_bytes": gossiper.asked_bytes,
         "members": [
             {
@@ -62,7 +66,7 @@
         "owned": owner.owns(shard_owner.shard),
         "waiting_by_tier": shard_owner.list_waiting(),
         "running": sum(
-            len(known.placed) for known in shard_owner.fleet.backends.values()
+            len(server.placed) for server in shard_owner.fleet.backends.values()
         ),
         "shed_last_minute": shard_owner.list_shed(steadyclock.read()),
         "enqueued": counters.enqueued,
@@ -72,34 +76,34 @@
         "declined": counters.declined,
         "rollout": _describe_rollout(shard_owner.releases.rollout),
         "backend_servers": [
-            _describe_backend(known)
-            for known in shard_owner.fleet.backends.values()
+            _describe_backend(server)
+            for server in shard_owner.fleet.backends.values()
         ],
     }
 
 
-def _describe_rollout(found: rollout.Rollout | None) -> dict[str, Any] | None:
-    if found is None:
+def _describe_rollout(current: rollout.Rollout | None) -> dict[str, Any] | None:
+    if current is None:
         return None
     return {
-        "release": found.order.release,
-        "state": found.state.value,
-        "reason": found.reason,
-        "sent_new": found.sent_new,
-        "sent": found.sent,
-        "answers_new": found.answers_new,
-        "failures_new": found.failures_new,
+        "release": current.order.release,
+        "state": current.state.value,
+        "reason": current.reason,
+        "sent_new": current.sent_new,
+        "sent": current.sent,
+        "answers_new": current.answers_new,
+        "failures_new": current.failures_new,
     }
 
 
-def _describe_backend(known: backend.Backend) -> dict[str, Any]:
+def _describe_backend(server: backend.Backend) -> dict[str, Any]:
     return {
-        "name": known.info.name,
-        "state": "lost" if known.is_lost else known.state.value,
-        "running": len(known.placed),
-        "places": known.info.max_running,
-        "foreign": known.foreign,
-        "prefill_tokens": known.prefill_tokens,
-        "prefill_tokens_per_s": round(known.prefill_rate, 1),
-        "step_s": round(known.step_s, 4),
+        "name": server.info.name,
+        "state": "lost" if server.is_lost else server.state.value,
+        "running": len(server.placed),
+        "places": server.info.max_running,
+        "foreign": server.foreign,
+        "prefill_tokens": server.prefill_tokens,
+        "prefill_tokens_per_s": round(server.prefill_rate, 1),
+        "step_s": round(server.step_s, 4),
     }
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -276,7 +276,7 @@
 
 def test_a_new_shard_knows_the_pauses_of_its_vm_s_scheduler() -> None:
     book = observations.BackendObservations()
-    book.take_hints(
+    book.record_hints(
         message.ServerHints("s0", 0, 2.0, pause_s=3.0), "entry", 0.0
     )
     owner = make_owner()
