--- a/ramptray/controller/__init__.py
+++ b/ramptray/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller process: orders to engines under a lease."""
+"""The controller process: sends orders to engines while it holds a lease."""
--- a/ramptray/controller/leaseholder.py
+++ b/ramptray/controller/leaseholder.py
@@ -1,4 +1,4 @@
-"""The task that takes and renews the lease of a zone on the log."""
+"""The task that acquires and renews the lease of a zone on the log."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class LeaseHolder:
-    """Follows the lease stream of a zone and contends for the lease."""
+    """Follows the lease stream of a zone and competes for the lease."""
 
     def __init__(
         self,
@@ -37,19 +37,19 @@
         self._held = False
 
     async def run(self) -> None:
-        """Contends until cancelled."""
+        """Competes for the lease until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._follow_stream)
             tasks.start_soon(self._contend)
 
     async def release(self) -> None:
-        """Gives the lease up at a planned stop, if it is held."""
+        """Releases the lease, if it is held, before a planned stop."""
         if not self._lease.holds(steadyclock.read()):
             return
         try:
             await self._append(self._lease.release())
         except log_client.PlatformError as error:
-            LOG.info("lease not released: %s", error)
+            LOG.info("could not release the lease: %s", error)
 
     async def _follow_stream(self) -> None:
         pages = stream.iterate_pages(self._log, self._stream, LONG_POLL_WAIT_S)
@@ -63,7 +63,7 @@
         try:
             parsed = msgspec.convert(record.body, lease.LeaseRecord)
         except msgspec.ValidationError as error:
-            LOG.warning("record is no lease: %s", error)
+            LOG.warning("invalid record in the lease stream: %s", error)
             return
         self._lease.read(record.offset, parsed, steadyclock.read())
 
@@ -79,7 +79,7 @@
             try:
                 await self._append(record)
             except log_client.PlatformError as error:
-                LOG.info("lease not appended: %s", error)
+                LOG.info("could not append a lease record: %s", error)
 
     async def _append(self, record: lease.LeaseRecord) -> None:
         await self._log.append(self._stream, msgspec.to_builtins(record))
--- a/ramptray/controller/main.py
+++ b/ramptray/controller/main.py
@@ -21,11 +21,11 @@
 
 INBOX_CAPACITY = 1000
 LEASE_TERM_S = 6.0
-"""How long a holder holds the lease after it sent a record, in seconds."""
+"""How long a lease record holds after it was sent, in seconds."""
 
 
 class Controller:
-    """Connects the local scheduler's word with lease and reconciler."""
+    """Passes messages between the scheduler, the lease and the reconciler."""
 
     def __init__(self, settings: ControllerSettings) -> None:
         equipment = runtime.make_runtime("controller", settings)
@@ -33,7 +33,7 @@
         self._timeline = equipment.timeline
         self._learner = acceptance.Learner()
         times = lease.LeaseTimes(LEASE_TERM_S, settings.order_timeout_s)
-        # The name tells lives apart: a restarted controller is another holder.
+        # A random suffix makes a restarted controller a different holder.
         state = lease.Lease(
             f"{equipment.name}/{secrets.token_hex(4)}",
             times,
@@ -59,7 +59,7 @@
         )
 
     async def run(self) -> None:
-        """Handles what the scheduler says until cancelled."""
+        """Handles messages of the scheduler until cancelled."""
         async for event in self._receive:
             if isinstance(event, attachment.Said):
                 self._handle_message(event.body)
@@ -86,7 +86,7 @@
 
 
 async def main(settings: ControllerSettings, stop: process.Stop) -> None:
-    """Serves until a stop is asked for, then gives the lease up."""
+    """Serves until a stop is requested, then releases the lease."""
     controller = Controller(settings)
     listener = webserver.bind(settings.listen)
     server = webserver.make_server(_make_app())
--- a/ramptray/controller/reconciler.py
+++ b/ramptray/controller/reconciler.py
@@ -1,4 +1,4 @@
-"""The task that brings a zone's engines to what the bundle declares."""
+"""The task that brings a zone's engines to the state the bundle declares."""
 
 from __future__ import annotations
 
@@ -16,14 +16,16 @@
 
 RECONCILE_INTERVAL_S = 0.5
 TAKEOVER_GRACE_S = 10.0
-"""How long after a takeover silent engines count as loading, in seconds."""
+"""Time after a takeover during which engines that do not respond count as
+loading, in seconds."""
 
 UNLOAD_DELAY_S = 3.0
-"""How long a bundle must be in force before old versions are unloaded."""
+"""Time for which all VMs must have used a bundle before old versions are
+unloaded, in seconds."""
 
 
 class Reconciler:
-    """Orders the engines of one zone while the lease is held."""
+    """Sends orders to the engines of one zone while the lease is held."""
 
     def __init__(
         self,
@@ -43,12 +45,12 @@
         self._held_since: float | None = None
 
     def set_bundle(self, in_force: acceptance.InForce) -> None:
-        """Takes the bundle in force."""
+        """Sets the bundle in force."""
         self._in_force = in_force
         self._adopted_since = None
 
     def set_lowest_generation(self, generation: int) -> None:
-        """Takes the lowest generation that a live VM works by."""
+        """Sets the lowest bundle generation that a live VM uses."""
         self._lowest_generation = generation
 
     async def run(self) -> None:
@@ -89,7 +91,7 @@
             try:
                 states[name] = await self._client.fetch_state(url)
             except engine_client.EngineError as error:
-                LOG.debug("state of %s: %s", name, error)
+                LOG.debug("could not fetch the state of %s: %s", name, error)
 
         async with anyio.create_task_group() as tasks:
             for name in names:
@@ -97,7 +99,7 @@
         return states
 
     def _may_unload(self, bundle: model.Bundle, now: float) -> bool:
-        """Returns whether nobody can still route by an older bundle."""
+        """Returns whether no VM can still route by an older bundle."""
         if self._lowest_generation < bundle.generation:
             self._adopted_since = None
             return False
@@ -105,7 +107,7 @@
         return now - self._adopted_since > UNLOAD_DELAY_S
 
     async def _send_order(self, url: str, order: placement.Order) -> None:
-        """Gives one order, if the lease still covers its flight."""
+        """Sends one order, if the lease outlasts the time it may take."""
         if not self._lease.may_order(steadyclock.read()):
             return
         fencing = self._lease.fencing
@@ -127,7 +129,7 @@
             fencing=fencing,
         )
         LOG.info(
-            "order given",
+            "order sent",
             extra={
                 "backend": order.backend,
                 "order": order.kind.value,
@@ -140,7 +142,7 @@
 def make_desired_states(
     bundle: model.Bundle, zone: str
 ) -> dict[str, placement.Wish]:
-    """Returns what the bundle declares for the engines of a zone."""
+    """Returns the state that the bundle declares for each engine of a zone."""
     return {
         name: placement.Wish(
             f"{server.service}@{bundle.services[server.service].version}",
--- a/ramptray/scheduler/attached_process.py
+++ b/ramptray/scheduler/attached_process.py
@@ -1,4 +1,4 @@
-"""The processes that are attached to a scheduler."""
+"""Registry of the processes attached to a scheduler."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AttachedProcess(msgspec.Struct):
-    """What is known of an attached process."""
+    """The state of an attached process."""
 
     hello: peer_message.Hello
     generation: int = 0
@@ -21,9 +21,9 @@
 
 
 class AttachedProcesses:
-    """Keeps the session of each attached process, and entries by their names.
+    """Tracks the session of each attached process, and entries by name.
 
-    A session is open before its process has introduced itself.
+    A session is open before its process has sent its Hello.
     """
 
     def __init__(self) -> None:
@@ -32,38 +32,38 @@
         self._sent_at: dict[str, float] = {}
 
     def __iter__(self) -> Iterator[tuple[peer_link.Session, AttachedProcess]]:
-        """Iterates over the processes that have introduced themselves."""
+        """Iterates over the processes that have sent their Hello."""
         for session, attached in self._sessions.items():
             if attached is not None:
                 yield session, attached
 
     def open(self, session: peer_link.Session) -> None:
-        """Takes a session whose process is not known yet."""
+        """Adds a session whose process has not sent its Hello yet."""
         self._sessions[session] = None
 
     def get(self, session: peer_link.Session) -> AttachedProcess | None:
-        """Returns the process of a session, if it has introduced itself."""
+        """Returns the process of a session, if it has sent its Hello."""
         return self._sessions.get(session)
 
     def add(
         self, session: peer_link.Session, hello: peer_message.Hello
     ) -> None:
-        """Takes a process that has introduced itself."""
+        """Adds a process that has sent its Hello."""
         self._sessions[session] = AttachedProcess(hello)
 
     def add_entry(self, session: peer_link.Session, name: str) -> None:
-        """Takes an entry's session and closes its previous one, if any."""
+        """Adds an entry's session and closes its previous one, if any."""
         previous = self._entries.get(name)
         self._entries[name] = session
         if previous is not None:
             previous.close()
 
     def remove(self, session: peer_link.Session) -> str | None:
-        """Forgets a session.
+        """Removes a session.
 
         Returns:
-            The entry that is lost with it; None where there is none, or where
-            it has attached again.
+            The name of the entry that is disconnected by it; None if the
+            session belonged to no entry, or if the entry has a newer session.
         """
         attached = self._sessions.pop(session, None)
         if attached is None:
@@ -88,5 +88,5 @@
             self._sent_at[entry] = now
 
     def get_idle_time(self, entry: str, now: float) -> float:
-        """Returns the seconds for which an entry was sent nothing."""
+        """Returns the seconds since the last message sent to an entry."""
         return now - self._sent_at.get(entry, -math.inf)
--- a/ramptray/scheduler/content_blocker.py
+++ b/ramptray/scheduler/content_blocker.py
@@ -1,4 +1,4 @@
-"""Keeps contents that end backend servers away from them, for all shards."""
+"""Blocks request contents that crash backend servers, for all shards."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 RequestUpdate = (
     message.Withdraw | message.Decline | message.FirstToken | message.Ended
 )
-"""What is update of a request to whoever holds it."""
+"""A message about a request that a shard already has."""
 
 
 class ContentBlocker:
-    """Learns from requests that ended, and refuses those that are blocked.
+    """Detects contents that crash backend servers, and rejects blocked ones.
 
     Args:
         blocks: The blocked contents that this VM knows of.
-        events: Where decisions are noted.
+        events: The timeline in which crashes are recorded.
 
     Attributes:
-        blocks: The same.
-        evidence: What speaks for and against contents.
-        on_crash: Called when a backend server has ended under requests.
+        blocks: The blocked contents that this VM knows of.
+        detector: Decides from crashes and successes which contents to block.
+        on_crash: Called when a backend server has crashed while it ran
+            requests.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
     def check(
         self, request: message.RequestInfo, now: float
     ) -> message.Reject | None:
-        """Returns the refusal of a request whose content is blocked."""
+        """Returns a Reject if the request's content is blocked."""
         left_s = self.blocks.get_left(request.content, now)
         if left_s <= 0:
             return None
@@ -52,10 +53,10 @@
     def observe(
         self, owner: shard.ShardOwner, update: RequestUpdate, now: float
     ) -> None:
-        """Learns what a request did, before the owner frees its place."""
+        """Records the outcome of a request, before the shard frees its slot."""
         match update:
             case message.Decline(request_id, _, True):
-                # It had not reached the backend server.
+                # The request never reached the backend server.
                 self.detector.note_absence(request_id)
             case message.Ended():
                 self._record_end(owner, update, now)
@@ -72,12 +73,13 @@
             if self.blocks.get_left(content, now):
                 LOG.warning(
                     "block lifted",
-                    extra={"content": content, "origin": "it ended well"},
+                    extra={"content": content, "origin": "request succeeded"},
                 )
             self._log_blocked(self.detector.note_whole(content, now), now)
             return
         if not ended.gone or server.state is backend.BackendState.LEAVING:
-            # Whoever leaves ends as planned, with whatever is left there.
+            # A leaving server stops as planned, so the requests that were
+            # still running on it did not crash it.
             return
         self._record_crash(server, now)
 
@@ -135,4 +137,4 @@
 
 
 def _do_nothing() -> None:
-    """Stands in until somebody listens."""
+    """Default of on_crash."""
--- a/ramptray/scheduler/event.py
+++ b/ramptray/scheduler/event.py
@@ -1,4 +1,4 @@
-"""What the hub of a scheduler, and its task for claims, are told."""
+"""Events for the mailboxes of the scheduler's hub and claim manager."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from ramptray.peer import message as peer_message
 
 if TYPE_CHECKING:
-    # Loading an HTTP client is dear for a program that asks no engine.
+    # Importing an HTTP client is slow, and only programs that poll engines
+    # need it.
     from ramptray.engine import client as engine_client
 
 
 class SessionOpened(msgspec.Struct, frozen=True):
-    """A process has attached."""
+    """A process has opened a session; it has not sent its Hello yet."""
 
     session: peer_link.Session
 
 
 class SessionClosed(msgspec.Struct, frozen=True):
-    """An attached process has gone."""
+    """The session of an attached process has ended."""
 
     session: peer_link.Session
 
@@ -36,56 +37,56 @@
 
 
 class BundleChanged(msgspec.Struct, frozen=True):
-    """Another bundle is in force."""
+    """A different bundle is in force."""
 
     in_force: acceptance.InForce
 
 
 class ViewChanged(msgspec.Struct, frozen=True):
-    """The zone's membership, or what is known of other zones, has changed."""
+    """The zone's members or the known schedulers of other zones changed."""
 
     view: peer_message.View
 
 
 class LowestGenerationChanged(msgspec.Struct, frozen=True):
-    """All VMs of the zone now work by this generation or a newer one."""
+    """All VMs of the zone now use this bundle generation or a newer one."""
 
     generation: int
 
 
 class LoadReported(msgspec.Struct, frozen=True):
-    """An engine's load report has arrived, or none did."""
+    """Result of polling an engine for load; None if the poll failed."""
 
     backend: str
     report: engine_client.LoadReport | None
 
 
 class CacheChanged(msgspec.Struct, frozen=True):
-    """An engine's cache events have arrived."""
+    """An engine has reported blocks added to and removed from its cache."""
 
     backend: str
     events: engine_client.CacheEvents
 
 
 class LeavingBackendsListed(msgspec.Struct, frozen=True):
-    """The platform's list names these backend servers as leaving."""
+    """The backend servers that the platform lists as leaving."""
 
     names: frozenset[str]
 
 
 class ClaimDecided(msgspec.Struct, frozen=True):
-    """The log has decided on a claim."""
+    """The outcome of a claim is known."""
 
     session: peer_link.Session
     decision: peer_message.ClaimDecision
 
 
 class TimelineRequested(msgspec.Struct, frozen=True):
-    """An operator asks for the events of this VM's processes.
+    """An operator requests the timelines of this VM's processes.
 
     Attributes:
-        question: What is asked.
-        answers: Where each attached process's answer goes.
+        question: The request.
+        answers: Receives the response of each attached process.
     """
 
     question: peer_message.AskTimeline
@@ -93,25 +94,25 @@
 
 
 class ClaimRequested(msgspec.Struct, frozen=True):
-    """An entry wants a key."""
+    """An entry requests a claim on an idempotency key."""
 
     session: peer_link.Session
     wish: peer_message.ClaimKey
 
 
 class ClaimReleased(msgspec.Struct, frozen=True):
-    """An entry will never dispatch an attempt."""
+    """An entry gives up an attempt that it will never dispatch."""
 
     release: peer_message.ReleaseKey
 
 
 class ClaimFinished(msgspec.Struct, frozen=True):
-    """An attempt's answer was whole."""
+    """An attempt has received a complete response."""
 
     finish: peer_message.FinishKey
 
 
 class PartitionsChanged(msgspec.Struct, frozen=True):
-    """These partitions are this scheduler's own in its view."""
+    """The claim partitions that this scheduler owns in its view."""
 
     numbers: frozenset[int]
--- a/ramptray/scheduler/main.py
+++ b/ramptray/scheduler/main.py
@@ -29,11 +29,12 @@
 LOG = logging.getLogger(__name__)
 
 LEAVE_DELAY_S = 1.0
-"""How long attached processes get to move what waits, in seconds."""
+"""Time for attached processes to move their waiting requests to another
+scheduler, in seconds."""
 
 
 async def main(settings: SchedulerSettings, stop: process.Stop) -> None:
-    """Serves until a stop is asked for, then leaves its zone in order."""
+    """Serves until a stop is requested, then leaves the zone gracefully."""
     equipment = runtime.make_runtime("scheduler", settings)
     client, events = equipment.client, equipment.timeline
     log = log_client.HttpLog(settings.platform, settings.vm)
--- a/ramptray/scheduler/observations.py
+++ b/ramptray/scheduler/observations.py
@@ -1,4 +1,4 @@
-"""What entries have learned of backend servers, for the owners of this VM."""
+"""What entries have observed of backend servers, for this VM's shards."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class BackendObservations:
-    """Keeps the newest speed and hints of each backend server.
+    """Stores the latest speed and hints of each backend server.
 
     Attributes:
-        speeds: The speeds by the servers' names.
+        speeds: The speeds by server name.
     """
 
     def __init__(self) -> None:
         self.speeds: dict[str, message.SpeedLearned] = {}
         self._hints: dict[str, message.ServerHints] = {}
-        # By entry and server: the server's run, and when the pause ends.
+        # (entry, server) -> the server's run and the time the pause ends.
         self._pauses: dict[tuple[str, str], tuple[int, float]] = {}
 
     def record_hints(
         self, hints: message.ServerHints, origin: str, now: float
     ) -> None:
-        """Takes a server's hints.
+        """Records the hints that a server has sent.
 
         Args:
-            hints: What it says of itself.
-            origin: The entry that sent them, which the pause is for.
+            hints: The hints.
+            origin: The entry that received them; a pause applies to it alone.
             now: The scheduler's clock in seconds.
         """
         previous = self._hints.get(hints.backend)
@@ -40,7 +40,8 @@
         if hints.pause_s > 0.0:
             pause = (hints.run, now + hints.pause_s)
             self._pauses[origin, hints.backend] = pause
-        # Of a pause what is left differs each time.
+        # The remaining time of a pause differs in each message, so it is left
+        # out of the comparison.
         without_pause = msgspec.structs.replace(hints, pause_s=0.0)
         if without_pause == previous and not hints.pause_s:
             return
@@ -55,20 +56,21 @@
         )
 
     def list_hints(self, now: float) -> list[tuple[str, message.ServerHints]]:
-        """Returns the hints with the entries that their pauses are for.
+        """Returns the hints, each with the entry that its pause applies to.
 
-        Those of servers that give none any more are among them.
+        Hints that a server no longer sends are included.
         """
         pauses = [
             (entry, message.ServerHints(backend, run, pause_s=until - now))
             for (entry, backend), (run, until) in self._pauses.items()
             if until > now
         ]
-        # What lasts comes last: a pause alone names no limit.
+        # Hints without a pause follow the pauses: a pause carries no limit and
+        # would otherwise overwrite the server's limit.
         return [*pauses, *(("", hints) for hints in self._hints.values())]
 
     def discard_except(self, backends: Container[str], now: float) -> None:
-        """Drops what is known of all other backend servers."""
+        """Removes all other backend servers and the pauses that have ended."""
         self.speeds = {n: k for n, k in self.speeds.items() if n in backends}
         self._hints = {n: k for n, k in self._hints.items() if n in backends}
         self._pauses = {
--- a/ramptray/scheduler/query.py
+++ b/ramptray/scheduler/query.py
@@ -1,4 +1,4 @@
-"""Questions for the time lines of the processes attached to a scheduler."""
+"""Queries for the timelines of the processes attached to a scheduler."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 
 
 class TimelineQueries:
-    """Passes each question on and hands its answers back.
+    """Forwards queries to attached processes and returns their responses.
 
-    The stream of a question's answers closes with the last of those sessions.
+    The response stream of a query closes when each process that it was sent
+    to has responded or disconnected.
     """
 
     def __init__(self) -> None:
@@ -32,7 +33,7 @@
         wanted: event.TimelineRequested,
         sessions: Iterable[peer_link.Session],
     ) -> None:
-        """Asks some attached processes."""
+        """Sends a query to some attached processes."""
         ticket = next(self._tickets)
         question = msgspec.structs.replace(wanted.question, ticket=ticket)
         for session in sessions:
@@ -43,13 +44,13 @@
     def forward_answer(
         self, session: peer_link.Session, events: peer_message.TimelineEvents
     ) -> None:
-        """Takes the answer of a process."""
+        """Passes the response of a process to its query's stream."""
         answers = self._pending.pop((events.ticket, session), None)
         if answers is not None:
             with contextlib.suppress(anyio.BrokenResourceError), answers:
                 answers.send_nowait(events)
 
     def drop_session(self, session: peer_link.Session) -> None:
-        """Notes that a process has gone and answers nothing any more."""
+        """Ends the pending queries of a process that has disconnected."""
         for key in [key for key in self._pending if key[1] is session]:
             self._pending.pop(key).close()
--- a/ramptray/scheduler/rollouts.py
+++ b/ramptray/scheduler/rollouts.py
@@ -1,4 +1,4 @@
-"""What this VM knows of decided rollouts, and the task that keeps it."""
+"""Verdicts on rollouts: their exchange between VMs and their storage."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 LOG = logging.getLogger(__name__)
 
 RETRY_DELAY_S = 0.5
-"""Pause before a verdict is tried to be kept again, in seconds."""
+"""Delay before another attempt to write a verdict to the log, in seconds."""
 
 
 class VerdictStore:
-    """The newest verdict on each service's rollout.
+    """The latest verdict on each service's rollout.
 
-    Final verdicts are told to other VMs; what the log keeps goes before what a
-    VM has decided by itself.
+    Final verdicts are sent to other VMs.  A verdict that is stored in the log
+    takes precedence over one that a VM has decided by itself.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self._listeners: list[Callable[[rollout.Verdict], None]] = []
 
     def on_change(self, listener: Callable[[rollout.Verdict], None]) -> None:
-        """Calls back with each verdict that is new here."""
+        """Registers a listener for each verdict that is new on this VM."""
         self._listeners.append(listener)
 
     def get(self, service: str) -> rollout.Verdict | None:
@@ -38,11 +38,11 @@
         return self._verdicts.get(service)
 
     def list_final(self) -> list[rollout.Verdict]:
-        """Returns the verdicts that other VMs are to know of."""
+        """Returns the verdicts to send to other VMs."""
         return [v for v in self._verdicts.values() if v.state.is_final]
 
     def merge(self, found: Iterable[rollout.Verdict]) -> None:
-        """Takes verdicts of this VM, of others, or of the log."""
+        """Merges verdicts made by this VM or read from other VMs or the log."""
         for verdict in found:
             if not verdict.goes_before(self._verdicts.get(verdict.service)):
                 continue
@@ -59,8 +59,8 @@
         list_owners: Returns the owners of the open shards.
 
     Attributes:
-        verdicts: What is known of decided rollouts.
-        on_verdict: Called with what is decided here.
+        verdicts: The known verdicts on rollouts.
+        on_verdict: Called with each verdict that this VM makes.
     """
 
     def __init__(
@@ -77,13 +77,13 @@
         order: rollout.Order | None,
         is_owned: bool,
     ) -> None:
-        """Takes the order that is in force for a shard's service.
+        """Sets the rollout order in force for a shard's service.
 
         Args:
             owner: The shard.
-            order: The order, None where there is none.
-            is_owned: Whether this scheduler owns the shard, instead of standing
-                in for its owner.
+            order: The order, or None if there is none.
+            is_owned: Whether this scheduler owns the shard; otherwise it is a
+                stand-in for the owner.
         """
         known = self.verdicts.get(owner.shard.service)
         owner.releases.set_order(order, known)
@@ -93,10 +93,10 @@
     def advance(
         self, owner: shard.ShardOwner, is_owned: bool, now: float
     ) -> None:
-        """Goes on with a shard's rollout, if there is one.
+        """Advances a shard's rollout, if there is one.
 
-        A bad release is given up by whoever finds out.  A good one is promoted
-        by the owner only: who stands in sees a part of what runs.
+        Any scheduler that detects a bad release rolls it back.  Only the owner
+        promotes a good one, since a stand-in sees only part of the requests.
         """
         if is_owned:
             owner.releases.decide(now)
@@ -118,28 +118,28 @@
 
 
 class VerdictWriter:
-    """Keeps what this VM decides, as soon as the log takes it.
+    """Writes this VM's verdicts to the log, and retries until it succeeds.
 
     Args:
-        kept: Where verdicts are kept.
-        store: What this VM knows.
+        verdict_log: Stores verdicts.
+        store: The verdicts that this VM knows; updated with what was stored.
     """
 
     def __init__(
-        self, kept: verdictlog.VerdictLog, store: VerdictStore
+        self, verdict_log: verdictlog.VerdictLog, store: VerdictStore
     ) -> None:
-        self._verdict_log = kept
+        self._verdict_log = verdict_log
         self._store = store
         self._pending: dict[str, rollout.Verdict] = {}
         self._has_pending = anyio.Event()
 
     def enqueue(self, verdict: rollout.Verdict) -> None:
-        """Has a verdict kept; the newest of a service replaces others."""
+        """Queues a verdict, which replaces an earlier one on its service."""
         self._pending[verdict.service] = verdict
         self._has_pending.set()
 
     async def run(self) -> None:
-        """Keeps verdicts until cancelled."""
+        """Writes queued verdicts until cancelled."""
         while True:
             await self._has_pending.wait()
             self._has_pending = anyio.Event()
@@ -159,9 +159,9 @@
             return
         if self._pending.get(service) is verdict:
             del self._pending[service]
-        LOG.info("verdict kept", extra=msgspec.to_builtins(kept))
+        LOG.info("verdict stored", extra=msgspec.to_builtins(kept))
         self._store.merge([msgspec.structs.replace(kept, is_kept=True)])
 
 
 def _ignore_verdict(verdict: rollout.Verdict) -> None:
-    """Stands in until somebody listens."""
+    """Default of on_verdict."""
--- a/ramptray/scheduler/rules.py
+++ b/ramptray/scheduler/rules.py
@@ -1,4 +1,4 @@
-"""Turns the bundle in force into what a shard's owner works by."""
+"""Derives a shard's rules and backend servers from the bundle in force."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 def list_backend_infos(
     bundle: model.Bundle, key: message.ShardKey
 ) -> list[backend.BackendInfo]:
-    """Returns the backend servers of a shard that may get new work."""
+    """Returns the backend servers of a shard that may receive requests."""
     shards = bundle.services[key.service].shards
     return [
         make_backend_info(bundle, name)
@@ -49,7 +49,7 @@
 
 
 def make_backend_info(bundle: model.Bundle, name: str) -> backend.BackendInfo:
-    """Returns what an owner needs to know of a backend server."""
+    """Returns the facts on a backend server that its shard needs."""
     server = bundle.backend_servers[name]
     engine = bundle.engines[server.engine]
     return backend.BackendInfo(
--- a/ramptray/scheduler/status.py
+++ b/ramptray/scheduler/status.py
@@ -1,4 +1,4 @@
-"""A scheduler's report on itself, as the operators' command shows it."""
+"""The status report of a scheduler, shown by the operators' command."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     gossiper: gossip.Gossiper,
     bundle_source: source.BundleSource,
 ) -> dict[str, Any]:
-    """Returns what this scheduler sees, as JSON values."""
+    """Returns the state of this scheduler as JSON values."""
     me = gossiper.membership.me
     return {
         "vm": me.vm,
