--- a/ramptray/scheduler/claims.py
+++ b/ramptray/scheduler/claims.py
@@ -1,4 +1,4 @@
-"""The task that claims idempotency keys on the log, in grouped appends."""
+"""The task that claims idempotency keys on the log, in batched appends."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 LOG = logging.getLogger(__name__)
 
 BATCH_DELAY_S = 0.04
-"""How long claims are gathered before they are appended together."""
+"""How long claims are collected for one append, in seconds."""
 
 MAX_BATCH_RECORDS = 500
 LONG_POLL_WAIT_S = 10.0
 RETRY_DELAY_S = 0.2
 TICK_INTERVAL_S = 0.5
 CLAIM_TIMEOUT_S = 2.0
-"""How long the log may fail before a claim is given up, in seconds."""
+"""How long a claim may wait for the log before it fails, in seconds."""
 
 INBOX_CAPACITY = 100_000
 
@@ -41,7 +41,7 @@
 
 
 class ClaimReader(pages.PageReader):
-    """Follows a claim stream; claims wait for it, so it does not pause.
+    """Follows a claim stream, without a delay to batch reads: claims wait.
 
     Args:
         log: The log.
@@ -64,7 +64,7 @@
 
 
 class Partition(msgspec.Struct):
-    """One claim stream as this scheduler has read it."""
+    """One claim stream: its state as far as read, and the pending claims."""
 
     number: int
     reader: ClaimReader
@@ -76,7 +76,7 @@
 
 
 class ClaimManager:
-    """Owns the partitions that this scheduler serves."""
+    """Handles the claims in the partitions that this scheduler serves."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     def post(self, posted: Any) -> None:
-        """Puts an event into the inbox."""
+        """Adds an event to the inbox."""
         self._send.send_nowait(posted)
 
     async def run(self) -> None:
@@ -196,12 +196,12 @@
             try:
                 offset = await self._log.append(partition.reader.stream, body)
             except log_client.PlatformError as error:
-                # The append may yet take effect; to say it twice is harmless.
-                LOG.info("claims not appended: %s", error)
+                # The append may still take effect; appending twice is harmless.
+                LOG.info("could not append claims: %s", error)
                 await anyio.sleep(RETRY_DELAY_S)
             else:
                 del partition.outbox[: len(batch)]
-                # If the read that waits was lost, this tells so.
+                # Lets the reader detect that its pending read was lost.
                 partition.reader.note_told(offset + 1)
             if partition.outbox:
                 partition.wake.set()
@@ -219,7 +219,7 @@
                 body.get("records"), list[claim.ClaimRecord]
             )
         except msgspec.ValidationError as error:
-            LOG.warning("record is not a batch of claims: %s", error)
+            LOG.warning("invalid record in a claim stream: %s", error)
             return
         for record in records:
             partition.ledger.read(record)
@@ -256,10 +256,11 @@
                         self._expire(partition, pending)
 
     def _expire(self, partition: Partition, pending: _PendingClaim) -> None:
-        """Answers that the log cannot be asked.
+        """Fails a claim because the log is unavailable.
 
-        Only the entry may release the attempt: it may have been posted by
-        another scheduler that the attempt holds the key, and have dispatched.
+        The attempt is not released here, only by the entry: another scheduler
+        may have confirmed that the attempt holds the key, and the entry may
+        have dispatched it.
         """
         self._send_decision(partition, pending, claim.Verdict.UNAVAILABLE)
 
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -1,4 +1,4 @@
-"""The task that owns a scheduler's shards and its attached processes."""
+"""The task that owns a scheduler's shards and attached processes."""
 
 from __future__ import annotations
 
@@ -37,7 +37,8 @@
 )
 
 if TYPE_CHECKING:
-    # Loading an HTTP client is dear for a program that asks no engine.
+    # Importing an HTTP client is slow, and only programs that poll engines
+    # need it.
     from ramptray.engine import client as engine_client
     from ramptray.scheduler import claims
 
@@ -46,24 +47,25 @@
 TICK_INTERVAL_S = 0.1
 IDLE_TICK_INTERVAL_S = 0.5
 STILL_WAITING_INTERVAL_S = 0.18
-"""How long an entry with waiting requests gets no message, in seconds:
-less than half of the time after which it takes its owner for lost."""
+"""Longest time without a message to an entry that has waiting requests, in
+seconds; less than half the time after which it considers its owner lost."""
 
 SUMMARY_INTERVAL_S = 0.5
 IDLE_SHARD_TIMEOUT_S = 5.0
-"""How long a shard that is owned elsewhere is kept while it is empty."""
+"""Time after which an empty shard that another scheduler owns is closed, in
+seconds."""
 
 
 class Options(msgspec.Struct, frozen=True):
-    """How a hub works.
+    """Options of a hub.
 
     Attributes:
-        policy: Name of the policy by which backend servers are chosen.
+        policy: Name of the policy that selects backend servers.
         report_grace_s: How long a new owner waits for the first report of a
             backend server.
-        shares_limits: Whether a customer's limit holds over all services
-            together instead of for each shard.
-        sends_bundle: Whether attached processes get the bundle from here.
+        shares_limits: Whether a customer's limit applies to all services
+            together instead of to each shard.
+        sends_bundle: Whether the hub sends attached processes the bundle.
     """
 
     policy: str = policy.TokenPolicy.name
@@ -73,16 +75,16 @@
 
 
 class Hub:
-    """Owns the shards; every change to them is one event in its mailbox.
+    """Owns the shards; changes them only in response to mailbox events.
 
     Attributes:
         in_force: The bundle in force, if any.
-        timeline: Where events are noted.
-        shards: The shards that are open here.
-        guard: Keeps contents that end backend servers away from them.
+        timeline: Records events for operators.
+        shards: The open shards.
+        content_blocker: Blocks contents that crash backend servers.
         view: The schedulers of this zone and some of the others.
-        on_new_backends: Called when backend servers should be asked at once.
-        rollouts: Applies the rollouts of releases to the shards.
+        on_new_backends: Called when backend servers should be polled at once.
+        rollouts: Applies rollouts to the shards.
     """
 
     def __init__(
@@ -127,7 +129,7 @@
         )
 
     def post(self, posted: Any) -> None:
-        """Has an event handled."""
+        """Adds an event to the mailbox."""
         self._mailbox.post(posted)
 
     async def run(self) -> None:
@@ -137,7 +139,7 @@
             await self._mailbox.run()
 
     def owns(self, key: message.ShardKey) -> bool:
-        """Returns whether this scheduler owns a shard in its own view."""
+        """Returns whether this scheduler owns a shard, in its view."""
         name = key.get_owner_key(self._options.shares_limits)
         if name not in self._ownership:
             strongest = membership.list_strongest(self.view.members)
@@ -250,7 +252,7 @@
                 attached.holds_lease = held
             case _ if self._claim_manager is None:
                 LOG.warning(
-                    "no claims are kept here",
+                    "message about claims on a scheduler that serves no claims",
                     extra={"message_type": type(body).__name__},
                 )
             case peer_message.ClaimKey():
@@ -292,10 +294,10 @@
         return hello.vm == self._gossiper.membership.me.vm
 
     def _choose_view(self, hello: peer_message.Hello) -> peer_message.View:
-        """Returns the view of the schedulers for an attached process.
+        """Returns the view to send to an attached process.
 
-        Each process uses the view of its own VM's scheduler only; a view lists
-        every VM, too much to send to all of them.
+        A process uses only the view of its own VM's scheduler.  Others get an
+        empty one, since a view lists every VM and is large.
         """
         if self._is_local(hello):
             return self.view
@@ -344,9 +346,9 @@
         owner: shard.ShardOwner,
         request_id: str,
     ) -> None:
-        """Tells an entry that its request waits here.
+        """Confirms to an entry that its request is queued.
 
-        An entry without a reply takes the owner for lost.
+        An entry that gets no reply considers the owner lost.
         """
         if owner.is_waiting(request_id):
             self._send_to_entry(attached.hello.name, message.Queued(request_id))
@@ -365,7 +367,7 @@
                 return
 
     def _propagate_blocks(self, news: list[blocklist.BlockNews]) -> None:
-        """Tells the entries, and refuses what waits here."""
+        """Sends blocks to the entries, and rejects blocked queued requests."""
         spread = peer_message.BlockedContents(news)
         for session, attached in self._attached:
             if attached.hello.kind == "entry":
@@ -486,7 +488,8 @@
             if self._is_local(attached.hello):
                 session.send(view)
         present = {m.vm for m in view.members}
-        # All names would be some 4 KB a line with hundreds of VMs.
+        # Only the changes: with hundreds of VMs, all names would take about
+        # 4 KB a line.
         self.timeline.note(
             "membership",
             self._zone,
@@ -496,7 +499,7 @@
         )
 
     def _update_limit_share(self) -> None:
-        """Takes the part of limits held by all services that is ours."""
+        """Updates this scheduler's share of limits that span all services."""
         if self._limits is not None:
             key = message.ShardKey(self._zone, "")
             is_stand_in = not self.owns(key)
@@ -504,7 +507,7 @@
             self._limits.set_part(part, is_stand_in)
 
     def _open_own_shards(self, now: float) -> None:
-        """Opens each own shard, so that other zones learn of its room."""
+        """Opens each owned shard, so that other zones learn its capacity."""
         if self.in_force is None:
             return
         for name, service in self.in_force.bundle.services.items():
@@ -598,4 +601,4 @@
 
 
 def _do_nothing() -> None:
-    """Default of callbacks."""
+    """Default of on_new_backends."""
