--- a/ramptray/controller/reconciler.py
+++ b/ramptray/controller/reconciler.py
@@ -8,7 +8,7 @@
 
 from ramptray import steadyclock, timeline
 from ramptray.bundle import acceptance, model
-from ramptray.core import lease, placement
+from ramptray.core import engine_orders, lease
 from ramptray.engine import client as engine_client
 from ramptray.engine import orders
 
@@ -71,7 +71,7 @@
         assert self._held_since is not None
         in_grace_period = now - self._held_since < TAKEOVER_GRACE_S
         unreachable = len(desired) - len(states)
-        for order in placement.plan_orders(
+        for order in engine_orders.plan_orders(
             desired,
             states,
             bundle.weights.loads_at_once,
@@ -83,8 +83,8 @@
 
     async def _fetch_states(
         self, bundle: model.Bundle, names: list[str]
-    ) -> dict[str, placement.EngineState]:
-        states: dict[str, placement.EngineState] = {}
+    ) -> dict[str, engine_orders.EngineState]:
+        states: dict[str, engine_orders.EngineState] = {}
 
         async def fetch(name: str) -> None:
             url = bundle.backend_servers[name].url
@@ -106,11 +106,11 @@
         self._adopted_since = self._adopted_since or now
         return now - self._adopted_since > UNLOAD_DELAY_S
 
-    async def _send_order(self, url: str, order: placement.Order) -> None:
+    async def _send_order(self, url: str, order: engine_orders.Order) -> None:
         """Sends one order, if the lease outlasts the time it may take."""
-        if not self._lease.may_order(steadyclock.read()):
+        if not self._lease.may_send_order(steadyclock.read()):
             return
-        fencing = self._lease.fencing
+        fencing = self._lease.fencing_token
         try:
             with anyio.fail_after(self._order_timeout_s):
                 await self._client.send(url, order, fencing)
@@ -141,10 +141,10 @@
 
 def make_desired_states(
     bundle: model.Bundle, zone: str
-) -> dict[str, placement.Wish]:
+) -> dict[str, engine_orders.DesiredState]:
     """Returns the state that the bundle declares for each engine of a zone."""
     return {
-        name: placement.Wish(
+        name: engine_orders.DesiredState(
             f"{server.service}@{bundle.services[server.service].version}",
             server.role,
         )
--- a/ramptray/core/granting.py
+++ b/ramptray/core/granting.py
@@ -1,4 +1,4 @@
-"""Granting backend servers to the requests that wait in a shard."""
+"""Grants the queued requests of a shard slots on backend servers."""
 
 from __future__ import annotations
 
@@ -20,47 +20,47 @@
 )
 from ramptray.core import rules as shard_rules
 
-HEADS_TRIED = 4
-"""Customers whose first request is tried before a tier is left waiting."""
+MAX_HEADS_TRIED = 4
+"""Customers of a tier whose first requests are tried in each round."""
 
 
 class Granter:
-    """Grants places to waiting requests, highest tier first.
+    """Grants slots on backend servers to queued requests, highest tier first.
 
     Args:
-        address: The owner's address, which its grants name.
-        rules: What the bundle says about the shard.
-        waiting: The queue.
+        address: The owner's address, which is sent in its grants.
+        rules: The configuration of the shard.
+        shard_queue: The queue.
         servers: The shard's backend servers.
-        limits: The part of each limit that this owner hands out.
-        chosen: Chooses a backend server.
-        paced: Counts grants.
-        releases: Counts what each release gets.
-        counters: What the shard has done.
+        limits: The rate limits, of which this owner hands out a part.
+        server_selector: Chooses a backend server.
+        estimator: Measures the rate of grants.
+        releases: Counts the requests of each release.
+        counters: Numbers of decisions, which are updated here.
 
     Attributes:
-        rules: The same; replaced with each bundle.
+        rules: The configuration of the shard; replaced with each bundle.
     """
 
     def __init__(
         self,
         address: str,
         rules: shard_rules.ShardRules,
-        waiting: queue.ShardQueue,
+        shard_queue: queue.ShardQueue,
         servers: fleet.Fleet,
         limits: limit.Limits,
-        chosen: selector.Selector,
-        paced: wait_estimator.WaitEstimator,
+        server_selector: selector.Selector,
+        estimator: wait_estimator.WaitEstimator,
         releases: release.ReleaseGate,
         counters: shedding.Counters,
     ) -> None:
         self.rules = rules
         self._address = address
-        self._queue = waiting
+        self._queue = shard_queue
         self._fleet = servers
         self._limits = limits
-        self._selector = chosen
-        self._pace = paced
+        self._selector = server_selector
+        self._wait_estimator = estimator
         self._releases = releases
         self._counters = counters
         self._grant_ids = itertools.count(1)
@@ -68,19 +68,19 @@
     def grant(
         self, now: float, only: list[backends.Backend] | None = None
     ) -> list[owner_effect.SendToEntry]:
-        """Grants as much as fits, highest tier first.
+        """Grants as many requests as fit, highest tier first.
 
         Args:
             now: The owner's clock in seconds.
-            only: The backend servers that have got room; None for any.
+            only: The backend servers on which a slot became free; None for any.
         """
-        out = self._grant_at(now, only)
+        out = self._grant_once(now, only)
         if out and only is not None and self._queue:
-            # Requests behind the granted ones may fit on other servers.
-            out += self._grant_at(now, None)
+            # The next requests in the queue may fit on other servers.
+            out += self._grant_once(now, None)
         return out
 
-    def _grant_at(
+    def _grant_once(
         self, now: float, only: list[backends.Backend] | None
     ) -> list[owner_effect.SendToEntry]:
         out: list[owner_effect.SendToEntry] = []
@@ -93,7 +93,7 @@
                 continue
             ahead.extend(self._list_heads(tier, now))
             pauses = self._fleet.eligibility.has_pauses(now)
-            if len(ahead) >= HEADS_TRIED and not pauses:
+            if len(ahead) >= MAX_HEADS_TRIED and not pauses:
                 break
         return out
 
@@ -102,14 +102,15 @@
     ) -> list[queue.QueuedRequest]:
         """Returns the requests that are tried first.
 
-        In a pause of one entry, the requests of others are not held up by it.
+        Requests of an entry that every server has asked for a pause do not
+        block those of other entries.
         """
         if not self._fleet.eligibility.has_pauses(now):
-            return tier.list_heads(HEADS_TRIED)
+            return tier.list_heads(MAX_HEADS_TRIED)
         is_held = functools.cache(
             lambda entry: self._fleet.eligibility.is_paused(entry, now)
         )
-        return tier.list_heads(HEADS_TRIED, is_held)
+        return tier.list_heads(MAX_HEADS_TRIED, is_held)
 
     def _grant_one(
         self,
@@ -119,21 +120,21 @@
         only: list[backends.Backend] | None,
         ahead: list[queue.QueuedRequest],
     ) -> owner_effect.SendToEntry | None:
-        """Grants one request of a tier, if there is a place for one.
+        """Grants one request of a tier, if a slot is available.
 
         Args:
             tier: The tier.
-            share: The part of each engine's places that it may use.
+            share: The part of each engine's slots that the tier may use.
             now: The owner's clock in seconds.
-            only: The backend servers that have got room; None for any.
-            ahead: Waiting requests of higher tiers; the places that they may
-                take are not for this one.
+            only: The backend servers on which a slot became free; None for any.
+            ahead: Queued requests of higher tiers; slots that they could use
+                are reserved for them.
         """
         if not tier.count:
             return None
         self._demote_late_heads(tier, now)
-        window = self._selector.take_window() if only is None else only
-        passed: list[queue.QueuedRequest] = []
+        window = self._selector.next_window() if only is None else only
+        skipped: list[queue.QueuedRequest] = []
         for waiting in self._list_heads(tier, now):
             candidates = window
             if only is None:
@@ -142,17 +143,17 @@
                 waiting, share, now, candidates, ahead
             )
             if chosen is not None:
-                for other in passed:
+                for other in skipped:
                     other.passed_over += waiting.cost
                 return self._place(tier, waiting, chosen, now)
             if waiting.is_starved:
-                # Others only go where it may not.
+                # Reserve the slots that a starved request could use.
                 ahead = [*ahead, waiting]
-            passed.append(waiting)
+            skipped.append(waiting)
         return None
 
     def _demote_late_heads(self, tier: queue.TierQueue, now: float) -> None:
-        """Moves heads that are too late behind those that may be in time."""
+        """Demotes head requests that can no longer meet their objective."""
         while late := [
             waiting
             for waiting in self._list_heads(tier, now)
@@ -177,9 +178,9 @@
         self._fleet.place(
             request, chosen, waiting.entry, grant_id, now, waiting.since
         )
-        self._pace.count_grant(waiting, now)
+        self._wait_estimator.count_grant(waiting, now)
         self._counters.granted += 1
-        self._releases.note_sent(chosen)
+        self._releases.count_request(chosen)
         return owner_effect.SendToEntry(
             waiting.entry,
             message.Grant(
@@ -199,19 +200,19 @@
                 chosen.info.max_running,
                 round(expected_s, 4),
                 round(chosen.step_s, 5),
-                _get_left(waiting, now),
+                _get_remaining_s(waiting, now),
                 chosen.get_rate_limit(now, self._limits.server_part),
             ),
         )
 
     def demote_late(self, now: float) -> None:
-        """Moves requests that cannot be in time behind all that can.
+        """Demotes all requests that can no longer meet their objective.
 
-        Load pattern: all backend servers name a limit at once.  Requests are
-        then served at a known pace, and those beyond it are late from the
-        start.
+        When all backend servers announce a rate limit at the same time,
+        requests are served at a known rate, and those beyond it are late from
+        the start.
         """
-        rate_per_s = self._pace.get_rate_limit(now)
+        rate_per_s = self._wait_estimator.get_rate_limit(now)
         pause_s = 1.0 / rate_per_s if rate_per_s else 0.0
         ahead = 0
         for waiting in sorted(
@@ -225,8 +226,8 @@
                 ahead += 1
 
 
-def _get_left(waiting: queue.QueuedRequest, now: float) -> float | None:
-    """Returns the seconds left for an answer in time, for the logs."""
+def _get_remaining_s(waiting: queue.QueuedRequest, now: float) -> float | None:
+    """Returns the seconds until a response would be late, for the logs."""
     if waiting.late_at == math.inf:
         return None
     return round(waiting.late_at - now, 4)
--- a/ramptray/core/queue.py
+++ b/ramptray/core/queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait in a shard: by tier, and fair by tokens within a tier."""
+"""A shard's queue: priority tiers with fair queueing by tokens in each."""
 
 from __future__ import annotations
 
@@ -13,18 +13,17 @@
 from ramptray.core import message
 
 OUTPUT_WEIGHT = 4
-"""Cost of an output token in prompt tokens: decoding is the slower part."""
+"""Cost of an output token in prompt tokens, as decoding is slower."""
 
+MAX_SCANNED_REQUESTS = 64
+"""Requests of a customer that are scanned for the first one of each entry."""
 
-LOOKED_AT = 64
-"""Requests of a customer that are looked at for the first ones of entries."""
-
-ENTRIES_TRIED = 4
-"""Entries of a customer whose first request is listed."""
+MAX_ENTRY_HEADS = 4
+"""Entries per customer whose first request is listed."""
 
 
 def compute_cost(request: message.RequestInfo) -> int:
-    """Returns a request's cost in prompt tokens, for queues and fairness."""
+    """Returns a request's cost in prompt tokens, for queueing and fairness."""
     return request.prompt_tokens + OUTPUT_WEIGHT * request.output_tokens
 
 
@@ -32,18 +31,20 @@
     """A request in the queue.
 
     Attributes:
-        request: Its facts.
-        entry: The entry that has its caller.
+        request: The request's properties.
+        entry: The entry that holds the caller's connection.
         rank: Its tier's rank.
-        deadline: When its answer is of no more use.
-        cost: Its cost.
-        since: When it began to wait.
-        passed_over: Cost of requests that went before it since it was first.
-        late_at: When its answer begins too late; infinite where never.
-        refuse_at: When it is refused if it still waits.
-        is_late: Whether it has moved behind all that may still be in time.
-        counted_at: When it was counted against its customer's limit; None
-            where it was not, or not here.
+        deadline: Time after which its response is useless.
+        cost: Its cost, see ``compute_cost``.
+        since: When it was queued.
+        passed_over: Cost of the requests granted before it while it was first.
+        late_at: When it misses its objective for the first token; infinite if
+            it has none.
+        refuse_at: When it is refused if it is still queued.
+        is_late: Whether it was demoted behind all requests that can still meet
+            their objective.
+        counted_at: When this owner counted it against its customer's limit;
+            None if it did not.
     """
 
     request: message.RequestInfo
@@ -60,16 +61,19 @@
 
     @property
     def is_starved(self) -> bool:
-        """Whether no other may go before it any more."""
+        """Whether no other request may be granted before it any more.
+
+        Requests of at least its own cost have then been granted before it.
+        """
         return self.passed_over >= self.cost
 
 
 class TierQueue:
-    """The waiting requests of one tier, shared fairly among customers.
+    """The queued requests of one tier, scheduled fairly among customers.
 
     Start-time fair queueing over customers: the one that has used the fewest
-    tokens for its share goes first.  A customer that was idle starts at the
-    current virtual time, so it cannot save up a claim on the whole service.
+    tokens relative to its weight goes first.  A customer that was idle starts
+    at the current virtual time, so it cannot accumulate credit while idle.
     """
 
     def __init__(self) -> None:
@@ -79,7 +83,7 @@
             str, collections.OrderedDict[str, QueuedRequest]
         ] = {}
         self._used: dict[str, float] = {}
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._heap: list[tuple[float, str]] = []
 
     def push(self, waiting: QueuedRequest) -> None:
@@ -88,21 +92,21 @@
         queue = self._queues.get(customer)
         if queue is None:
             queue = self._queues[customer] = collections.OrderedDict()
-            used = max(self._used.get(customer, 0.0), self._virtual)
+            used = max(self._used.get(customer, 0.0), self._virtual_time)
             self._used[customer] = used
             heapq.heappush(self._heap, (used, customer))
         queue[waiting.request.request_id] = waiting
         self.cost += waiting.cost
         self.count += 1
 
-    def restore(self, waiting: QueuedRequest) -> None:
+    def push_front(self, waiting: QueuedRequest) -> None:
         """Puts a request back at the head of its customer's queue."""
         self.push(waiting)
         queue = self._queues[waiting.request.customer]
         queue.move_to_end(waiting.request.request_id, last=False)
 
     def remove(self, waiting: QueuedRequest) -> None:
-        """Takes a request out, wherever it stands."""
+        """Removes a request at any position."""
         customer = waiting.request.customer
         queue = self._queues[customer]
         del queue[waiting.request.request_id]
@@ -111,31 +115,39 @@
         self.cost -= waiting.cost
         self.count -= 1
 
-    def charge(self, waiting: QueuedRequest, share: float) -> None:
-        """Counts a granted request against its customer's share."""
+    def charge(self, waiting: QueuedRequest, weight: float) -> None:
+        """Charges a granted request to its customer.
+
+        Args:
+            waiting: The request.
+            weight: The customer's weight.
+        """
         customer = waiting.request.customer
-        used = self._used.get(customer, self._virtual)
-        self._virtual = max(self._virtual, used)
-        self._used[customer] = used + waiting.cost / share
+        used = self._used.get(customer, self._virtual_time)
+        self._virtual_time = max(self._virtual_time, used)
+        self._used[customer] = used + waiting.cost / weight
         if customer in self._queues:
             heapq.heappush(self._heap, (self._used[customer], customer))
         if len(self._used) > 4 * len(self._queues) + 64:
             self._forget_idle()
 
     def list_heads(
-        self, most: int, is_held: Callable[[str], bool] | None = None
+        self, max_customers: int, is_paused: Callable[[str], bool] | None = None
     ) -> list[QueuedRequest]:
-        """Returns the first request of up to ``most`` customers, in order.
+        """Returns the first request of up to ``max_customers`` customers.
+
+        They are in scheduling order.
 
         Args:
-            most: How many customers.
-            is_held: Returns whether the requests of an entry can go nowhere
-                now.  With it, the first requests of a few other entries are
-                listed of each customer.
+            max_customers: How many customers.
+            is_paused: Returns whether every server has asked an entry for a
+                pause.  If given, up to ``MAX_ENTRY_HEADS`` requests are
+                listed per customer, the first of each entry that is not
+                paused.
         """
         heads: list[QueuedRequest] = []
         taken: list[tuple[float, str]] = []
-        while self._heap and len(taken) < most:
+        while self._heap and len(taken) < max_customers:
             used, customer = heapq.heappop(self._heap)
             stale = used != self._used.get(customer)
             if stale or customer not in self._queues:
@@ -144,22 +156,23 @@
                 continue
             taken.append((used, customer))
             queue = self._queues[customer]
-            if is_held is None:
+            if is_paused is None:
                 heads.append(next(iter(queue.values())))
             else:
-                heads += _list_first_of_entries(queue.values(), is_held)
+                heads += _list_entry_heads(queue.values(), is_paused)
         for item in taken:
             heapq.heappush(self._heap, item)
         return heads
 
     def list_all(self) -> list[QueuedRequest]:
-        """Returns every waiting request, each customer's in order."""
+        """Returns every queued request, in order within each customer."""
         return [w for queue in self._queues.values() for w in queue.values()]
 
     def pick_victim(self) -> QueuedRequest | None:
         """Returns the request to shed first, or None.
 
-        It is the newest one of the customer furthest over its share.
+        It is the newest one of the customer that has used the most tokens
+        relative to its weight.
         """
         if not self._queues:
             return None
@@ -172,12 +185,12 @@
         self._used = {
             customer: used
             for customer, used in self._used.items()
-            if customer in self._queues or used > self._virtual
+            if customer in self._queues or used > self._virtual_time
         }
 
 
 class ShardQueue:
-    """All that waits in a shard, by tier, highest tier first.
+    """All queued requests of a shard by tier, highest tier first.
 
     Args:
         ranks: Rank of each tier by name; 0 is the highest.
@@ -196,11 +209,11 @@
 
     @property
     def cost(self) -> int:
-        """Cost of all that waits."""
+        """Total cost of the queued requests."""
         return sum(tier.cost for tier in self.tiers)
 
     def set_ranks(self, ranks: dict[str, int]) -> None:
-        """Takes the tiers of the bundle in force."""
+        """Applies the tiers of the bundle in force."""
         self._ranks = ranks
         count = max(ranks.values(), default=0) + 1
         ordered = [w for tier in self.tiers for w in tier.list_all()]
@@ -213,9 +226,9 @@
             self.tiers[waiting.rank].push(waiting)
 
     def demote(self, waiting: QueuedRequest) -> None:
-        """Moves a request that is too late behind all that are not.
+        """Moves a late request behind all requests that are not late.
 
-        Among the late ones the tiers keep their order.
+        Late requests are ordered by tier among themselves.
         """
         self.tiers[waiting.rank].remove(waiting)
         waiting.is_late = True
@@ -230,7 +243,7 @@
     def make(
         self, request: message.RequestInfo, entry: str, now: float
     ) -> QueuedRequest:
-        """Returns a request as it would wait; it does not yet."""
+        """Returns a queue item for a request, without queueing it."""
         return QueuedRequest(
             request,
             entry,
@@ -238,8 +251,8 @@
             deadline=now + request.deadline_s,
             cost=compute_cost(request),
             since=now,
-            late_at=_add(now, request.objective_s),
-            refuse_at=_add(now, request.wait_s),
+            late_at=_add_optional(now, request.objective_s),
+            refuse_at=_add_optional(now, request.wait_s),
         )
 
     def push(self, waiting: QueuedRequest) -> None:
@@ -247,35 +260,35 @@
         self._waiting[waiting.request.request_id] = waiting
         self.tiers[waiting.rank].push(waiting)
 
-    def restore(self, waiting: QueuedRequest) -> None:
+    def push_front(self, waiting: QueuedRequest) -> None:
         """Puts a request back at the head of its customer's queue."""
         self._waiting[waiting.request.request_id] = waiting
-        self.tiers[waiting.rank].restore(waiting)
+        self.tiers[waiting.rank].push_front(waiting)
 
     def remove(self, waiting: QueuedRequest) -> None:
-        """Takes a request out."""
+        """Removes a request."""
         del self._waiting[waiting.request.request_id]
         self.tiers[waiting.rank].remove(waiting)
 
     def discard(self, request_id: str) -> None:
-        """Takes a request out, if it waits."""
+        """Removes a request if it is queued."""
         if waiting := self._waiting.get(request_id):
             self.remove(waiting)
 
     def discard_entry(self, entry: str) -> None:
-        """Takes out all that one entry has waiting."""
+        """Removes all queued requests of an entry."""
         for waiting in self.list_all():
             if waiting.entry == entry:
                 self.remove(waiting)
 
     def list_all(self) -> list[QueuedRequest]:
-        """Returns every waiting request, in order of arrival."""
+        """Returns every queued request, in order of arrival."""
         return list(self._waiting.values())
 
-    def list_behind(self) -> list[QueuedRequest]:
-        """Returns the late requests while others wait that may be in time.
+    def list_late(self) -> list[QueuedRequest]:
+        """Returns the late requests if any other request is queued.
 
-        They would begin only after all of those, and more arrive meanwhile.
+        Those would be served first, and more arrive in the meantime.
         """
         in_time = self.tiers[: self._tier_count]
         if not any(tier.count for tier in in_time):
@@ -284,7 +297,7 @@
         return [waiting for tier in late for waiting in tier.list_all()]
 
     def list_expired(self, now: float) -> list[QueuedRequest]:
-        """Returns the requests that are not to wait any longer."""
+        """Returns the requests that are past a deadline or refusal time."""
         return [
             w
             for w in self._waiting.values()
@@ -297,37 +310,37 @@
         return next((v for v in victims if v is not None), None)
 
     def get_cost_ahead(self, waiting: QueuedRequest) -> int:
-        """Returns the cost of what goes before a request at most."""
+        """Returns an upper bound of the cost queued before a request."""
         ahead = sum(tier.cost for tier in self.tiers[: waiting.rank + 1])
         return ahead - waiting.cost
 
     def get_count_ahead(self, waiting: QueuedRequest) -> int:
-        """Returns how many requests that may be in time go before one."""
+        """Returns how many requests that are not late go before a request."""
         in_time = self.tiers[: self._tier_count]
         ahead = sum(tier.count for tier in in_time[: waiting.rank + 1])
         counted = not waiting.is_late and waiting.request.request_id in self
         return ahead - counted
 
     def has_lower(self, rank: int) -> bool:
-        """Returns whether a request of a lower tier waits."""
+        """Returns whether a request of a lower tier is queued."""
         return any(tier.count for tier in self.tiers[rank + 1 :])
 
     def _get_rank(self, request: message.RequestInfo) -> int:
         return self._ranks.get(request.tier, self._tier_count - 1)
 
 
-def _list_first_of_entries(
-    line: Iterable[QueuedRequest], is_held: Callable[[str], bool]
+def _list_entry_heads(
+    queued: Iterable[QueuedRequest], is_paused: Callable[[str], bool]
 ) -> list[QueuedRequest]:
-    """Returns the first requests of a few entries in a customer's line."""
+    """Returns the first request of each of a few entries of a customer."""
     first: dict[str, QueuedRequest] = {}
-    for waiting in itertools.islice(line, LOOKED_AT):
-        if waiting.entry not in first and not is_held(waiting.entry):
+    for waiting in itertools.islice(queued, MAX_SCANNED_REQUESTS):
+        if waiting.entry not in first and not is_paused(waiting.entry):
             first[waiting.entry] = waiting
-        if len(first) >= ENTRIES_TRIED:
+        if len(first) >= MAX_ENTRY_HEADS:
             break
     return list(first.values())
 
 
-def _add(now: float, left_s: float | None) -> float:
+def _add_optional(now: float, left_s: float | None) -> float:
     return math.inf if left_s is None else now + left_s
--- a/ramptray/core/shedding.py
+++ b/ramptray/core/shedding.py
@@ -1,4 +1,4 @@
-"""Refusing waiting requests, or sending them to zones with room."""
+"""Load shedding: refuses queued requests or redirects them to other zones."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 )
 
 SHED_WINDOW_S = 60.0
-"""Span over which refusals are counted for operators, in seconds."""
+"""Window of the refusal counts shown to operators, in seconds."""
 
 STARTUP_GRACE_S = 3.0
-"""How long a new owner waits for the summaries of other zones, in seconds."""
+"""Seconds that a new owner waits for the summaries of other zones."""
 
-MIN_RETRY_S = 0.5
+MIN_RETRY_AFTER_S = 0.5
 """Shortest Retry-After, in seconds."""
 
-OUT_OF_REACH_RETRY_S = 1.0
-"""Shortest Retry-After where no backend server is in reach, in seconds: by then
-the balancer may send the caller to a VM that is better placed."""
+UNREACHABLE_RETRY_AFTER_S = 1.0
+"""Shortest Retry-After if no backend server is reachable, in seconds.  By then
+the load balancer may route the caller to a VM that can reach one."""
 
-MAX_RETRY_S = 30.0
+MAX_RETRY_AFTER_S = 30.0
 """Longest Retry-After, in seconds."""
 
 
 class Counters(msgspec.Struct):
-    """What the shard has done since its owner took over."""
+    """Numbers of decisions since the shard's owner took over."""
 
     enqueued: int = 0
     granted: int = 0
@@ -45,45 +45,45 @@
 
 
 class Shedder:
-    """Takes requests out of a shard's queue that are not to wait there.
+    """Removes requests from a shard's queue that must not stay there.
 
     Args:
-        waiting: The queue.
+        shard_queue: The queue.
         servers: The shard's backend servers.
         limits: The customers' limits.
-        paced: Estimates of waiting.
-        others: The same shard in other zones.
-        entries: The entries that ask here.
-        born: When the owner took over, on its clock in seconds.
+        estimator: Estimates waiting times.
+        remotes: The same shard in other zones.
+        entries: The entries that send requests to this owner.
+        started_at: When the owner took over, on its clock in seconds.
 
     Attributes:
-        counters: What the shard has done.
-        queue_cost: Cost that may wait.
+        counters: Numbers of decisions since the owner took over.
+        queue_cost: Capacity of the queue, as a cost.
     """
 
     def __init__(
         self,
-        waiting: queue.ShardQueue,
+        shard_queue: queue.ShardQueue,
         servers: fleet.Fleet,
         limits: limit.Limits,
-        paced: wait_estimator.WaitEstimator,
-        others: remote_shards.RemoteShards,
+        estimator: wait_estimator.WaitEstimator,
+        remotes: remote_shards.RemoteShards,
         entries: Collection[str],
-        born: float,
+        started_at: float,
     ) -> None:
         self.counters = Counters()
         self.queue_cost = 0
-        self._queue = waiting
+        self._queue = shard_queue
         self._fleet = servers
         self._limits = limits
-        self._pace = paced
-        self._remote = others
+        self._wait_estimator = estimator
+        self._remote = remotes
         self._entries = entries
-        self._born = born
+        self._started_at = started_at
         self._shed: dict[str, meter.RateMeter] = {}
 
     def list_shed(self, now: float) -> dict[str, int]:
-        """Returns how many requests of each tier were refused lately."""
+        """Returns the number of recently refused requests of each tier."""
         return {tier: shed.get_sum(now) for tier, shed in self._shed.items()}
 
     def admit(
@@ -91,16 +91,16 @@
     ) -> owner_effect.SendToEntry | None:
         """Counts a request against its customer's limit.
 
-        A request that was admitted before, here or elsewhere, is not counted
-        again.
+        A request that has already been admitted, here or in another zone, is
+        not counted again.
 
         Returns:
-            The refusal of one that is over the limit, else None.
+            The refusal if the request exceeds the limit, else None.
         """
         request = waiting.request
         if request.spilled_from or request.attempt:
             return None
-        counted = _count(waiting)
+        counted = _get_limit_cost(waiting)
         wait_s = self._limits.try_acquire(request.customer, counted, now)
         if wait_s == 0.0:
             waiting.counted_at = now
@@ -111,7 +111,7 @@
     def refuse_content(
         self, content: str, left_s: float
     ) -> list[owner_effect.SendToEntry]:
-        """Refuses what waits with a content that is blocked from now on."""
+        """Refuses the queued requests with a newly blocked content."""
         found = [
             waiting
             for waiting in self._queue.list_all()
@@ -125,47 +125,51 @@
         ]
 
     def refuse_expired(self, now: float) -> list[owner_effect.SendToEntry]:
-        """Refuses the requests that may not wait any longer."""
+        """Refuses the requests past their deadline or refusal time."""
         return [
             self._refuse(waiting, _get_expiry_reason(waiting, now), now)
             for waiting in self._queue.list_expired(now)
         ]
 
     def refuse_late(self, now: float) -> list[owner_effect.SendToEntry]:
-        """Refuses late requests at once while others wait in time.
+        """Refuses late requests while requests that are not late are queued.
 
-        Load pattern: more is asked than the engines can do for some seconds.
-        Late requests then wait in vain behind those that may be in time, and
-        are refused in the end; sooner, their callers lose less.  What has run
-        before is not refused: it may go on somewhere.
+        During an overload of some seconds, late requests would wait behind
+        those that can still meet their objective, and be refused in the end.
+        An early refusal costs their callers less time.  A request that has
+        already been attempted is not refused, as it may be resumed elsewhere.
         """
         return [
             self._refuse(waiting, message.Reason.OVERLOADED, now)
-            for waiting in self._queue.list_behind()
+            for waiting in self._queue.list_late()
             if not waiting.request.attempt
         ]
 
-    def refuse_out_of_reach(
+    def refuse_unreachable(
         self, waiting: queue.QueuedRequest, now: float
     ) -> list[owner_effect.SendToEntry]:
-        """Gives up a request whose entry can reach no backend server.
+        """Redirects or refuses a request whose entry can reach no server.
 
-        Its caller may come back to another VM.
+        Its caller may retry at another VM.
         """
-        if not self._fleet.eligibility.is_out_of_reach(waiting.request):
+        if not self._fleet.eligibility.has_no_reachable_backend(
+            waiting.request
+        ):
             return []
-        return [self._turn_away(waiting, now, message.Reason.NO_BACKEND)]
+        return [
+            self._redirect_or_refuse(waiting, now, message.Reason.NO_BACKEND)
+        ]
 
     def refuse_paused(
         self, candidates: Iterable[queue.QueuedRequest], now: float
     ) -> list[owner_effect.SendToEntry]:
-        """Turns away what every server wants to wait for longer than it may.
+        """Redirects or refuses requests that cannot wait for a pause to end.
 
-        Load pattern: all servers of a service turn requests away and ask the
+        This applies when all servers of a service refuse requests and ask the
         same VM for a pause.
         """
         return [
-            self._turn_away(waiting, now)
+            self._redirect_or_refuse(waiting, now)
             for waiting in candidates
             if waiting.request.request_id in self._queue
             and now + self._fleet.eligibility.get_pause(waiting, now)
@@ -175,31 +179,32 @@
     def make_room(
         self, newest: queue.QueuedRequest, now: float
     ) -> list[owner_effect.SendToEntry]:
-        """Turns away what the queue cannot hold after a request has come."""
+        """Redirects or refuses the excess after a request was queued."""
         out: list[owner_effect.SendToEntry] = []
         while self._queue.cost > self.queue_cost:
             victim = self._queue.pick_victim()
             if victim is None or len(self._queue) == 1:
                 break
-            out.append(self._turn_away(victim, now))
+            out.append(self._redirect_or_refuse(victim, now))
         if newest.request.request_id not in self._queue:
             return out
         if self._cannot_meet_deadline(newest, now):
             reason = message.Reason.DEADLINE
-            out.append(self._turn_away(newest, now, reason))
+            out.append(self._redirect_or_refuse(newest, now, reason))
         return [*out, *self.spill_over(now)]
 
     def spill_over(self, now: float) -> list[owner_effect.SendToEntry]:
-        """Turns everything away while no backend server is left here.
+        """Redirects or refuses all requests if no backend server is usable.
 
-        A new owner first waits for the summaries of the other zones.
+        A new owner only redirects until it has had time to receive the
+        summaries of the other zones.
         """
         if self._fleet.has_usable:
             return []
-        is_starting = now - self._born <= STARTUP_GRACE_S
+        is_starting = now - self._started_at <= STARTUP_GRACE_S
         lowest_first = sorted(self._queue.list_all(), key=lambda w: -w.rank)
         return [
-            self._turn_away(waiting, now)
+            self._redirect_or_refuse(waiting, now)
             for waiting in lowest_first
             if not is_starting or self._remote.has_room(waiting)
         ]
@@ -209,21 +214,21 @@
     ) -> bool:
         """Returns whether a request cannot meet its deadline.
 
-        While a lower tier waits, a request is never refused early: it goes
-        before all of them as soon as any engine has room.
+        While requests of a lower tier are queued, a request is never refused
+        early: it goes before all of them as soon as any engine has a free slot.
         """
         if self._queue.has_lower(waiting.rank):
             return False
-        wait_s = self._pace.estimate_wait(waiting, now)
+        wait_s = self._wait_estimator.estimate_wait(waiting, now)
         return now + wait_s > waiting.deadline
 
-    def _turn_away(
+    def _redirect_or_refuse(
         self,
         waiting: queue.QueuedRequest,
         now: float,
         reason: message.Reason = message.Reason.OVERLOADED,
     ) -> owner_effect.SendToEntry:
-        """Sends a request to a zone with room, or gives it up."""
+        """Redirects a request to a zone with capacity, or refuses it."""
         target = self._remote.pick(waiting)
         if target is None:
             return self._refuse(waiting, reason, now)
@@ -234,7 +239,7 @@
             message.Redirect(
                 waiting.request.request_id, target.shard.zone, target.owner
             ),
-            self._make_basis(),
+            self._make_inputs(),
         )
 
     def _refuse(
@@ -244,24 +249,28 @@
         self._count_shed(waiting.request.tier, now)
         if waiting.counted_at is not None:
             self._limits.refund(
-                waiting.request.customer, _count(waiting), waiting.counted_at
+                waiting.request.customer,
+                _get_limit_cost(waiting),
+                waiting.counted_at,
             )
         if not self._fleet.has_usable:
             reason = message.Reason.NO_BACKEND
-        least_s = MIN_RETRY_S
+        least_s = MIN_RETRY_AFTER_S
         if reason is message.Reason.NO_BACKEND:
-            least_s = OUT_OF_REACH_RETRY_S
-        self._pace.count_refusal(waiting, now)
-        # In a pause of all entries the queue is served from its end on.
-        pause_s = self._fleet.eligibility.get_pause_of_all(
+            least_s = UNREACHABLE_RETRY_AFTER_S
+        self._wait_estimator.count_refusal(waiting, now)
+        # During a pause of all entries, the queue is served after its end.
+        pause_s = self._fleet.eligibility.get_shortest_pause(
             len(self._entries), now
         )
         wait_s = max(
             least_s,
-            pause_s + self._pace.estimate_wait(waiting, now),
-            pause_s + self._pace.estimate_return(waiting, now),
+            pause_s + self._wait_estimator.estimate_wait(waiting, now),
+            pause_s + self._wait_estimator.estimate_retry_after(waiting, now),
+        )
+        return self._make_reject(
+            waiting, reason, min(wait_s, MAX_RETRY_AFTER_S)
         )
-        return self._make_reject(waiting, reason, min(wait_s, MAX_RETRY_S))
 
     def _make_reject(
         self,
@@ -272,10 +281,10 @@
         return owner_effect.SendToEntry(
             waiting.entry,
             message.Reject(waiting.request.request_id, reason, retry_s),
-            self._make_basis(),
+            self._make_inputs(),
         )
 
-    def _make_basis(self) -> owner_effect.DecisionInputs:
+    def _make_inputs(self) -> owner_effect.DecisionInputs:
         open_ones = [b for b in self._fleet.list_all() if not b.is_lost]
         return owner_effect.DecisionInputs(
             len(self._queue),
@@ -289,8 +298,8 @@
         shed.add(1, now)
 
 
-def _count(waiting: queue.QueuedRequest) -> int:
-    """Returns what a request counts against its customer's limit."""
+def _get_limit_cost(waiting: queue.QueuedRequest) -> int:
+    """Returns the tokens a request uses of its customer's limit."""
     counted = waiting.request.limit_tokens
     return waiting.cost if counted is None else counted
 
@@ -298,7 +307,7 @@
 def _get_expiry_reason(
     waiting: queue.QueuedRequest, now: float
 ) -> message.Reason:
-    """Returns why a request does not wait any longer."""
+    """Returns the reason for refusing an expired request."""
     if waiting.deadline <= now:
         return message.Reason.DEADLINE
     return message.Reason.OVERLOADED
--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -258,7 +258,7 @@
         may_repeat = (
             wanted
             and ticket.machine.dispatches < info.max_attempts
-            and self._budget.take(info.shard.service, now)
+            and self._budget.try_take(info.shard.service, now)
         )
         finish = request.Finish(
             message.Outcome.UNKNOWN, event.reason, ATTEMPT_RETRY_S
@@ -380,8 +380,8 @@
         ticket = self._tickets.get(decision.attempt)
         if ticket is None:
             return
-        verdict = claim.Verdict(decision.verdict)
-        held = verdict is claim.Verdict.HELD
+        verdict = claim.ClaimStatus(decision.verdict)
+        held = verdict is claim.ClaimStatus.HELD
         finish = None if held else claim.make_finish(verdict)
         effects = ticket.machine.decide_claim(held, finish)
         self._perform(ticket, effects, now)
--- a/ramptray/scheduler/claims.py
+++ b/ramptray/scheduler/claims.py
@@ -222,12 +222,14 @@
             LOG.warning("invalid record in a claim stream: %s", error)
             return
         for record in records:
-            partition.ledger.read(record)
+            partition.ledger.apply(record)
 
     def _decide_pending(self, partition: Partition) -> None:
         for attempt, pending in list(partition.pending.items()):
             wish = pending.wish
-            verdict = partition.ledger.judge(wish.key, attempt, wish.digest)
+            verdict = partition.ledger.get_claim_status(
+                wish.key, attempt, wish.digest
+            )
             if verdict is not None:
                 self._send_decision(partition, pending, verdict)
 
@@ -235,11 +237,11 @@
         self,
         partition: Partition,
         pending: _PendingClaim,
-        verdict: claim.Verdict,
+        verdict: claim.ClaimStatus,
     ) -> None:
         wish = pending.wish
         del partition.pending[wish.attempt]
-        status = partition.ledger.get_status(wish.key)
+        status = partition.ledger.get_response_status(wish.key)
         self._on_decision(
             pending.session,
             peer_message.ClaimDecision(wish.attempt, verdict.value, status),
@@ -262,7 +264,7 @@
         may have confirmed that the attempt holds the key, and the entry may
         have dispatched it.
         """
-        self._send_decision(partition, pending, claim.Verdict.UNAVAILABLE)
+        self._send_decision(partition, pending, claim.ClaimStatus.UNAVAILABLE)
 
 
 def _make_claim_record(wish: peer_message.ClaimKey) -> claim.ClaimRecord:
--- a/ramptray/scheduler/content_blocker.py
+++ b/ramptray/scheduler/content_blocker.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ramptray import timeline
-from ramptray.core import backend, blocklist, message, shard, suspicion
+from ramptray.core import backend, blocklist, message, poison, shard
 
 LOG = logging.getLogger(__name__)
 
@@ -35,7 +35,7 @@
         self, blocks: blocklist.Blocklist, events: timeline.Timeline
     ) -> None:
         self.blocks = blocks
-        self.detector = suspicion.Evidence(blocks)
+        self.detector = poison.PoisonDetector(blocks)
         self.on_crash: Callable[[], None] = _do_nothing
         self._timeline = events
 
@@ -43,7 +43,7 @@
         self, request: message.RequestInfo, now: float
     ) -> message.Reject | None:
         """Returns a Reject if the request's content is blocked."""
-        left_s = self.blocks.get_left(request.content, now)
+        left_s = self.blocks.get_remaining_s(request.content, now)
         if left_s <= 0:
             return None
         return message.Reject(
@@ -57,7 +57,7 @@
         match update:
             case message.Decline(request_id, _, True):
                 # The request never reached the backend server.
-                self.detector.note_absence(request_id)
+                self.detector.exclude_request(request_id)
             case message.Ended():
                 self._record_end(owner, update, now)
 
@@ -70,12 +70,12 @@
             return
         if ended.whole:
             content = placed.request.content
-            if self.blocks.get_left(content, now):
+            if self.blocks.get_remaining_s(content, now):
                 LOG.warning(
                     "block lifted",
                     extra={"content": content, "origin": "request succeeded"},
                 )
-            self._log_blocked(self.detector.note_whole(content, now), now)
+            self._log_blocked(self.detector.record_success(content, now), now)
             return
         if not ended.gone or server.state is backend.BackendState.LEAVING:
             # A leaving server stops as planned, so the requests that were
@@ -85,7 +85,7 @@
 
     def _record_crash(self, server: backend.Backend, now: float) -> None:
         runners = {
-            request_id: suspicion.Runner(
+            request_id: poison.RunningRequest(
                 request_id,
                 placed.request.content,
                 placed.started,
@@ -95,10 +95,10 @@
             )
             for request_id, placed in server.placed.items()
         }
-        crash = suspicion.Crash(server.info.name, server.info.run, now, runners)
+        crash = poison.Crash(server.info.name, server.info.run, now, runners)
         if self.detector.has_ended(crash):
             return
-        verdicts = self.detector.note_crash(crash)
+        verdicts = self.detector.record_crash(crash)
         self.on_crash()
         self._timeline.note(
             "crash",
@@ -109,7 +109,7 @@
                     "request": runner.request_id,
                     "content": runner.content,
                     "answered_s": runner.answered_s,
-                    "count": self.detector.get_count(runner.content),
+                    "count": self.detector.get_crash_count(runner.content),
                 }
                 for runner in runners.values()
             ],
@@ -117,7 +117,7 @@
         self._log_blocked(verdicts, now)
 
     def _log_blocked(
-        self, verdicts: list[suspicion.Verdict], now: float
+        self, verdicts: list[poison.Detection], now: float
     ) -> None:
         for verdict in verdicts:
             block = verdict.block
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -244,7 +244,7 @@
             case peer_message.TimelineEvents():
                 self._timeline_queries.forward_answer(session, body)
             case peer_message.BlockedContents(blocks):
-                new = self.blocks.take(blocks, now)
+                new = self.blocks.merge(blocks, now)
                 blocked.log_taken(new, attached.hello.name)
             case peer_message.InForceReport(generation):
                 attached.generation = generation
@@ -283,7 +283,7 @@
             session.send(peer_message.LowestGeneration(self._lowest_generation))
             return
         if len(self.blocks):
-            news = self.blocks.list_news(steadyclock.read())
+            news = self.blocks.list_updates(steadyclock.read())
             session.send(peer_message.BlockedContents(news))
         self._attached.add_entry(session, hello.name)
         for owner in self.shards.values():
@@ -366,7 +366,7 @@
                 self._send_effects(out)
                 return
 
-    def _propagate_blocks(self, news: list[blocklist.BlockNews]) -> None:
+    def _propagate_blocks(self, news: list[blocklist.BlockUpdate]) -> None:
         """Sends blocks to the entries, and rejects blocked queued requests."""
         spread = peer_message.BlockedContents(news)
         for session, attached in self._attached:
@@ -438,7 +438,7 @@
             self.content_blocker.detector.is_suspect,
         )
         for entry, hints in self._observations.list_hints(now):
-            owner.fleet.take_hints(hints, entry, now)
+            owner.fleet.apply_hints(hints, entry, now)
         self.shards[key] = owner
         self._apply_rollout(key, owner)
         self._update_leaving_states()
@@ -528,10 +528,10 @@
     ) -> None:
         if report is None:
             for owner in self.shards.values():
-                owner.fleet.note_silence(name)
+                owner.fleet.note_missing_report(name)
             return
         for owner in self.shards.values():
-            owner.correct_load(
+            owner.apply_load_report(
                 name,
                 report.running + report.waiting,
                 report.versions,
@@ -548,14 +548,14 @@
     ) -> None:
         for owner in self.shards.values():
             if known := owner.fleet.backends.get(name):
-                known.cache.drop(changes.removed)
+                known.cache.evict(changes.removed)
                 known.cache.add(changes.stored)
 
     def _update_leaving_states(self) -> None:
         leaving = self._listed_leaving | self._reported_leaving
         for owner in self.shards.values():
             for name in owner.fleet.backends:
-                left = name in leaving or not owner.fleet.wants(name)
+                left = name in leaving or not owner.fleet.is_configured(name)
                 owner.fleet.set_state(
                     name,
                     backend.BackendState.LEAVING
