--- a/test/limiting.py
+++ b/test/limiting.py
@@ -1,4 +1,4 @@
-"""Replicas that name request limits during a soak, and whether they hold."""
+"""Request limits that replicas announce during a soak, and a check of them."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from test import harm, node, verdict
 
 RATES = (0.4, 1.0, 1.5, 3.0)
-"""Limits that are named, in requests a second."""
+"""Announced limits, in requests per second."""
 
-SPELL_S = (6.0, 12.0)
-"""Least and most time for which a limit is named, in seconds."""
+LIMIT_PERIOD_S = (6.0, 12.0)
+"""Minimum and maximum duration of a limit, in seconds."""
 
-PAUSE_S = (0.5, 3.0)
-"""Least and most time between two spells, in seconds."""
+GAP_S = (0.5, 3.0)
+"""Minimum and maximum time between two limits, in seconds."""
 
 KNOWN_AFTER_S = 3.0
-"""Time from a limit's first naming until it must be kept, in seconds."""
+"""Time from a limit's announcement until it must be kept, in seconds."""
 
-LINK_CALM_S = 0.5
-"""Time after a fault of a link in which late requests arrive, in seconds."""
+LINK_RECOVERY_S = 0.5
+"""Time after a link fault in which delayed requests arrive, in seconds."""
 
 WINDOW_S = 4.0
 FACTOR = 1.5
@@ -32,13 +32,13 @@
 
 @dataclasses.dataclass
 class LimitPeriod:
-    """A time in which a replica named a limit.
+    """A period in which a replica announced a limit.
 
     Attributes:
-        name: The replica.
-        rate: Requests a second.
-        since: When it began.
-        until: When it ended.
+        name: Name of the replica.
+        rate: Requests per second.
+        since: Start of the period.
+        until: End of the period.
     """
 
     name: str
@@ -48,46 +48,46 @@
 
     @property
     def allowed(self) -> float:
-        """The most requests in any window."""
+        """Maximum number of requests in any window."""
         return self.rate * FACTOR * WINDOW_S + SLACK
 
 
 class Limiter:
-    """Has replicas name limits, one spell after the other.
+    """Makes replicas announce limits, in successive periods.
 
     Args:
-        harmer: Sets what replicas do.
-        rng: Chooses.
-        names: The replicas.
+        harmer: Injects the limits.
+        rng: Random number generator.
+        names: Names of the replicas.
 
     Attributes:
-        spells: What was named when.
+        periods: The announced limits.
     """
 
     def __init__(
         self, harmer: harm.Harm, rng: random.Random, names: list[str]
     ) -> None:
-        self.spells: list[LimitPeriod] = []
+        self.periods: list[LimitPeriod] = []
         self._harm = harmer
         self._rng = rng
         self._names = names
 
     def run(self, is_over: Callable[[], bool]) -> None:
-        """Has limits named until the run is over."""
+        """Sets and ends limits until the run is over."""
         while not is_over():
-            named = self._rng.sample(self._names, self._rng.choice((1, 1, 2)))
-            spells = [
+            limited = self._rng.sample(self._names, self._rng.choice((1, 1, 2)))
+            periods = [
                 LimitPeriod(name, self._rng.choice(RATES), time.monotonic())
-                for name in named
+                for name in limited
             ]
-            for spell in spells:
-                self._harm.name_limit(spell.name, spell.rate)
-            self.spells += spells
-            self._wait(self._rng.uniform(*SPELL_S), is_over)
-            for spell in spells:
-                ended_at = self._harm.end_limit(spell.name)
-                spell.until = min(ended_at, time.monotonic())
-            self._wait(self._rng.uniform(*PAUSE_S), is_over)
+            for period in periods:
+                self._harm.name_limit(period.name, period.rate)
+            self.periods += periods
+            self._wait(self._rng.uniform(*LIMIT_PERIOD_S), is_over)
+            for period in periods:
+                ended_at = self._harm.end_limit(period.name)
+                period.until = min(ended_at, time.monotonic())
+            self._wait(self._rng.uniform(*GAP_S), is_over)
 
     @staticmethod
     def _wait(seconds: float, is_over: Callable[[], bool]) -> None:
@@ -97,7 +97,7 @@
 
 
 def read_arrivals(started: node.Platform, name: str) -> list[tuple[float, str]]:
-    """Returns when which request arrived at a replica, over all its runs."""
+    """Returns times and request IDs of a replica's arrivals, of all runs."""
     return sorted(
         (line["at"], line["request_id"])
         for line in started.read_log(name)
@@ -106,41 +106,43 @@
 
 
 def check_limits(
-    spells: list[LimitPeriod],
+    periods: list[LimitPeriod],
     record: verdict.Record,
     arrivals: Mapping[str, list[tuple[float, str]]],
 ) -> promise.Promise:
-    """Judges each window of each spell.
+    """Checks each window of each period.
 
-    A VM does not count in a window near a fault of its own, and no VM where
-    the links to the replica were harmed.
+    The requests of a VM that had a fault near the window are not counted;
+    windows near a link fault of the replica are skipped.
     """
     kept = promise.Promise("a named limit is not exceeded by all VMs together")
     vms = {ask.name: ask.vm for ask in record.asks}
-    for spell in spells:
-        begin = spell.since + KNOWN_AFTER_S
-        for start, _ in arrivals[spell.name]:
+    for period in periods:
+        begin = period.since + KNOWN_AFTER_S
+        for start, _ in arrivals[period.name]:
             end = start + WINDOW_S
-            if start < begin or end > spell.until:
+            if start < begin or end > period.until:
                 continue
-            excused = _list_harmed(record, start, end)
-            if spell.name in excused:
+            excused = _list_faulty(record, start, end)
+            if period.name in excused:
                 continue
             count = sum(
                 start <= at < end and vms.get(request_id, "") not in excused
-                for at, request_id in arrivals[spell.name]
+                for at, request_id in arrivals[period.name]
             )
-            detail = f"{spell.name}: {count} requests at {spell.rate} a second"
-            kept.judge(count <= spell.allowed, detail)
+            detail = (
+                f"{period.name}: {count} requests at {period.rate} a second"
+            )
+            kept.judge(count <= period.allowed, detail)
     return kept
 
 
-def _list_harmed(record: verdict.Record, start: float, end: float) -> set[str]:
-    """Returns the VMs and replicas that had a fault near a window."""
-    harmed = set()
+def _list_faulty(record: verdict.Record, start: float, end: float) -> set[str]:
+    """Returns the VMs and replicas with a fault near a window."""
+    faulty = set()
     for fault in record.faults:
         name = fault.name.split()[-1]
-        after_s = verdict.CALM_S if name.startswith("vm-") else LINK_CALM_S
+        after_s = verdict.CALM_S if name.startswith("vm-") else LINK_RECOVERY_S
         if fault.began < end and fault.ended + after_s > start:
-            harmed.add(name)
-    return harmed
+            faulty.add(name)
+    return faulty
