--- a/ramptray/scheduler/content_blocker.py
+++ b/ramptray/scheduler/content_blocker.py
@@ -1,4 +1,4 @@
-"""Keeps contents that end backend servers away from them, for all shards."""
+"""Blocks request contents that crash backend servers, for all shards."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 RequestUpdate = (
     message.Withdraw | message.Decline | message.FirstToken | message.Ended
 )
-"""What is told of a request to whoever holds it."""
+"""A message about a request that a shard already has."""
 
 
 class ContentBlocker:
-    """Learns from requests that ended, and refuses those that are blocked.
+    """Detects contents that crash backend servers, and rejects blocked ones.
 
     Args:
         blocks: The blocked contents that this VM knows of.
-        events: Where decisions are noted.
+        events: The timeline in which crashes are recorded.
 
     Attributes:
-        blocks: The same.
-        evidence: What speaks for and against contents.
-        on_crash: Called when a backend server has ended under requests.
+        blocks: The blocked contents that this VM knows of.
+        detector: Decides from crashes and successes which contents to block.
+        on_crash: Called when a backend server has crashed while it ran
+            requests.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
     def check(
         self, request: message.RequestInfo, now: float
     ) -> message.Reject | None:
-        """Returns the refusal of a request whose content is blocked."""
+        """Returns a Reject if the request's content is blocked."""
         left_s = self.blocks.get_remaining_s(request.content, now)
         if left_s <= 0:
             return None
@@ -49,39 +50,40 @@
             request.request_id, message.Reason.BLOCKED, left_s
         )
 
-    def learn(
-        self, owner: shard.ShardOwner, told: RequestUpdate, now: float
+    def observe(
+        self, owner: shard.ShardOwner, update: RequestUpdate, now: float
     ) -> None:
-        """Learns what a request did, before the owner frees its place."""
-        match told:
+        """Records the outcome of a request, before the shard frees its slot."""
+        match update:
             case message.Decline(request_id, _, True):
-                # It had not reached the backend server.
+                # The request never reached the backend server.
                 self.detector.exclude_request(request_id)
             case message.Ended():
-                self._note_ended(owner, told, now)
+                self._record_end(owner, update, now)
 
-    def _note_ended(
+    def _record_end(
         self, owner: shard.ShardOwner, ended: message.Ended, now: float
     ) -> None:
         placed = owner.fleet.get_placed(ended.request_id)
-        known = owner.fleet.find(ended.request_id)
-        if placed is None or known is None:
+        server = owner.fleet.find(ended.request_id)
+        if placed is None or server is None:
             return
         if ended.whole:
             content = placed.request.content
             if self.blocks.get_remaining_s(content, now):
                 LOG.warning(
                     "block lifted",
-                    extra={"content": content, "origin": "it ended well"},
+                    extra={"content": content, "origin": "request succeeded"},
                 )
-            self._tell(self.detector.record_success(content, now), now)
+            self._log_blocked(self.detector.record_success(content, now), now)
             return
-        if not ended.gone or known.state is backend.BackendState.LEAVING:
-            # Whoever leaves ends as planned, with whatever is left there.
+        if not ended.gone or server.state is backend.BackendState.LEAVING:
+            # A leaving server stops as planned, so the requests that were
+            # still running on it did not crash it.
             return
-        self._note_crash(known, now)
+        self._record_crash(server, now)
 
-    def _note_crash(self, known: backend.Backend, now: float) -> None:
+    def _record_crash(self, server: backend.Backend, now: float) -> None:
         runners = {
             request_id: poison.RunningRequest(
                 request_id,
@@ -91,17 +93,17 @@
                 if placed.answers_since is None
                 else now - placed.answers_since,
             )
-            for request_id, placed in known.placed.items()
+            for request_id, placed in server.placed.items()
         }
-        crash = poison.Crash(known.info.name, known.info.run, now, runners)
+        crash = poison.Crash(server.info.name, server.info.run, now, runners)
         if self.detector.has_ended(crash):
             return
         verdicts = self.detector.record_crash(crash)
         self.on_crash()
         self._timeline.note(
             "crash",
-            known.info.name,
-            run=known.info.run,
+            server.info.name,
+            run=server.info.run,
             runners=[
                 {
                     "request": runner.request_id,
@@ -112,9 +114,11 @@
                 for runner in runners.values()
             ],
         )
-        self._tell(verdicts, now)
+        self._log_blocked(verdicts, now)
 
-    def _tell(self, verdicts: list[poison.Detection], now: float) -> None:
+    def _log_blocked(
+        self, verdicts: list[poison.Detection], now: float
+    ) -> None:
         for verdict in verdicts:
             block = verdict.block
             LOG.warning(
@@ -133,4 +137,4 @@
 
 
 def _do_nothing() -> None:
-    """Stands in until somebody listens."""
+    """Default of on_crash."""
