--- a/ramptray/core/candidate.py
+++ b/ramptray/core/candidate.py
@@ -1,8 +1,8 @@
-"""Which backend servers are looked at for a request, at a flat cost.
+"""Candidate backend servers for a request, found at constant cost.
 
-An owner may have hundreds of backend servers.  It looks at those that probably
-hold the request's prefix, and at a window over those with a free place that
-moves on with each look.
+An owner may have hundreds of backend servers.  It considers only those that
+probably hold the request's prefix, and a window over those with a free slot,
+which advances with each decision.
 """
 
 from __future__ import annotations
@@ -12,69 +12,69 @@
 
 from ramptray.core import backend as backends
 
-WINDOW = 16
-"""Backend servers with a free place that one decision looks at."""
+WINDOW_SIZE = 16
+"""Number of backend servers with a free slot that one decision considers."""
 
-HOLDERS = 4
-"""Backend servers that are remembered for each prefix block."""
+MAX_HOLDERS = 4
+"""Maximum number of backend servers remembered per prefix block."""
 
-REMEMBERED_BLOCKS = 50_000
-"""Prefix blocks that are remembered, least recently placed first out."""
+MAX_INDEXED_BLOCKS = 50_000
+"""Maximum number of prefix blocks in the index, evicted in LRU order."""
 
 
 class FreeBackendPool:
-    """The backend servers with a free place, in no particular order."""
+    """The backend servers with a free slot, in no particular order."""
 
     def __init__(self) -> None:
-        self._list: list[backends.Backend] = []
-        self._places: dict[str, int] = {}
+        self._backends: list[backends.Backend] = []
+        self._positions: dict[str, int] = {}
         self._cursor = 0
 
     def __len__(self) -> int:
-        return len(self._list)
+        return len(self._backends)
 
     def update(self, known: backends.Backend) -> None:
-        """Takes a backend server in or out, as its places are now."""
+        """Adds or removes a backend server, depending on its free slots."""
         name = known.info.name
-        place = self._places.get(name)
+        position = self._positions.get(name)
         if known.has_free_slot:
-            if place is None:
-                self._places[name] = len(self._list)
-                self._list.append(known)
+            if position is None:
+                self._positions[name] = len(self._backends)
+                self._backends.append(known)
             else:
-                self._list[place] = known
-        elif place is not None:
-            self._remove(name, place)
+                self._backends[position] = known
+        elif position is not None:
+            self._remove(name, position)
 
     def discard(self, name: str) -> None:
-        """Takes a backend server out."""
-        place = self._places.get(name)
-        if place is not None:
-            self._remove(name, place)
+        """Removes a backend server, if present."""
+        position = self._positions.get(name)
+        if position is not None:
+            self._remove(name, position)
 
     def next_window(self) -> list[backends.Backend]:
-        """Returns the next few backend servers; all, if there are few."""
-        count = len(self._list)
-        if count <= WINDOW:
-            return list(self._list)
+        """Returns the next ``WINDOW_SIZE`` backend servers, or all if fewer."""
+        count = len(self._backends)
+        if count <= WINDOW_SIZE:
+            return list(self._backends)
         start = self._cursor % count
-        self._cursor = start + WINDOW
+        self._cursor = start + WINDOW_SIZE
         ring = itertools.chain(
-            self._list[start : start + WINDOW],
-            self._list[: max(0, start + WINDOW - count)],
+            self._backends[start : start + WINDOW_SIZE],
+            self._backends[: max(0, start + WINDOW_SIZE - count)],
         )
         return list(ring)
 
-    def _remove(self, name: str, place: int) -> None:
-        last = self._list.pop()
-        del self._places[name]
+    def _remove(self, name: str, position: int) -> None:
+        last = self._backends.pop()
+        del self._positions[name]
         if last.info.name != name:
-            self._list[place] = last
-            self._places[last.info.name] = place
+            self._backends[position] = last
+            self._positions[last.info.name] = position
 
 
 class PrefixHolderIndex:
-    """Remembers where requests with a prefix block went last."""
+    """Maps a prefix block to the servers that computed it most recently."""
 
     def __init__(self) -> None:
         self._holders: collections.OrderedDict[int, tuple[str, ...]] = (
@@ -82,20 +82,20 @@
         )
 
     def add(self, prefix: tuple[int, ...], name: str) -> None:
-        """Notes that a backend server computes these blocks."""
+        """Records that a backend server computes these blocks."""
         for block in prefix:
             others = [n for n in self._holders.get(block, ()) if n != name]
-            self._holders[block] = (name, *others[: HOLDERS - 1])
+            self._holders[block] = (name, *others[: MAX_HOLDERS - 1])
             self._holders.move_to_end(block)
-        while len(self._holders) > REMEMBERED_BLOCKS:
+        while len(self._holders) > MAX_INDEXED_BLOCKS:
             self._holders.popitem(last=False)
 
     def find(self, prefix: tuple[int, ...]) -> tuple[str, ...]:
-        """Returns the backend servers that share most of a prefix."""
+        """Returns the servers that hold the longest known part of a prefix."""
         known = self._holders
         if not prefix or prefix[0] not in known:
             return ()
-        # Blocks are chained: the deepest known one is found by halving.
+        # Blocks are chained, so the last known one is found by binary search.
         low, high = 0, len(prefix) - 1
         while low < high:
             middle = (low + high + 1) // 2
--- a/ramptray/scheduler/query.py
+++ b/ramptray/scheduler/query.py
@@ -1,4 +1,4 @@
-"""Questions for the time lines of the processes attached to a scheduler."""
+"""Queries for the timelines of the processes attached to a scheduler."""
 
 from __future__ import annotations
 
@@ -18,38 +18,39 @@
 
 
 class TimelineQueries:
-    """Passes each question on and hands its answers back.
+    """Forwards queries to attached processes and returns their responses.
 
-    The stream of a question's answers closes with the last of those asked.
+    The response stream of a query closes when each process that it was sent
+    to has responded or disconnected.
     """
 
     def __init__(self) -> None:
-        self._numbers = itertools.count(1)
-        self._open: dict[tuple[int, peer_link.Session], _Answers] = {}
+        self._tickets = itertools.count(1)
+        self._pending: dict[tuple[int, peer_link.Session], _Answers] = {}
 
     def ask(
         self,
         wanted: event.TimelineRequested,
-        asked: Iterable[peer_link.Session],
+        sessions: Iterable[peer_link.Session],
     ) -> None:
-        """Asks some attached processes."""
-        number = next(self._numbers)
-        question = msgspec.structs.replace(wanted.question, ticket=number)
-        for session in asked:
-            self._open[number, session] = wanted.answers.clone()
+        """Sends a query to some attached processes."""
+        ticket = next(self._tickets)
+        question = msgspec.structs.replace(wanted.question, ticket=ticket)
+        for session in sessions:
+            self._pending[ticket, session] = wanted.answers.clone()
             session.send(question)
         wanted.answers.close()
 
     def forward_answer(
         self, session: peer_link.Session, events: peer_message.TimelineEvents
     ) -> None:
-        """Takes the answer of a process."""
-        answers = self._open.pop((events.ticket, session), None)
+        """Passes the response of a process to its query's stream."""
+        answers = self._pending.pop((events.ticket, session), None)
         if answers is not None:
             with contextlib.suppress(anyio.BrokenResourceError), answers:
                 answers.send_nowait(events)
 
     def drop_session(self, session: peer_link.Session) -> None:
-        """Notes that a process has gone and answers nothing any more."""
-        for key in [key for key in self._open if key[1] is session]:
-            self._open.pop(key).close()
+        """Ends the pending queries of a process that has disconnected."""
+        for key in [key for key in self._pending if key[1] is session]:
+            self._pending.pop(key).close()
