--- a/ramptray/scheduler/source.py
+++ b/ramptray/scheduler/source.py
@@ -1,4 +1,4 @@
-"""Base class of sources of bundles, with their exchange between peers."""
+"""Base class of bundle sources, with the exchange of bundles between peers."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
         return peer_message.ToldStreams([])
 
     @abc.abstractmethod
-    def set_on_stream_advance(self, on_news: Callable[[], None]) -> None:
+    def set_on_stream_advance(self, on_advance: Callable[[], None]) -> None:
         """Sets the callback for stream ends that peers may not know yet."""
 
     async def fetch(self, address: str, generation: int) -> None:
