--- a/ramptray/caller/answer.py
+++ b/ramptray/caller/answer.py
@@ -51,7 +51,7 @@
 
     def hold(
         self,
-        wish: tickets.ClaimWish | None,
+        wish: tickets.ClaimRequest | None,
         response: responses.Response,
     ) -> None:
         """Holds the answer to a request with a key, if it is small enough."""
@@ -73,7 +73,7 @@
             _, dropped = self._held.popitem(last=False)
             self._bytes -= len(dropped.body)
 
-    def find(self, wish: tickets.ClaimWish | None) -> HeldAnswer | None:
+    def find(self, wish: tickets.ClaimRequest | None) -> HeldAnswer | None:
         """Returns the answer to the same request, if it is still held."""
         held = self._held.get(wish.key) if wish else None
         if held is None or wish is None or held.digest != wish.digest:
--- a/ramptray/caller/app.py
+++ b/ramptray/caller/app.py
@@ -137,7 +137,7 @@
             ticket,
             exchange.ModelCall(http.url.path, msgspec.json.encode(sent)),
             self._client,
-            self._desk.network.find_url,
+            self._desk.backends.find_url,
             self._settings.limits.idle_write_s,
         )
         self._tasks.start_soon(served.run)
@@ -145,7 +145,7 @@
         try:
             first = await _receive_or_leave(http, served)
         except anyio.get_cancelled_exc_class():
-            served.abandon()
+            served.cancel()
             raise
         if first is None:
             return responses.Response(status_code=499)
@@ -176,7 +176,7 @@
             try:
                 item = await _receive_or_leave(http, served)
             except anyio.get_cancelled_exc_class():
-                served.abandon()
+                served.cancel()
                 raise
             if item is None:
                 return responses.Response(status_code=499)
@@ -275,7 +275,7 @@
             yield self._format_end(cut)
         finally:
             if not ended:
-                self.served.abandon()
+                self.served.cancel()
 
     def note(self, item: event.Event) -> None:
         """Measures one event."""
@@ -324,7 +324,7 @@
             result = None
         tasks.cancel_scope.cancel()
     if result is None:
-        served.abandon()
+        served.cancel()
     return result
 
 
--- a/ramptray/caller/plain.py
+++ b/ramptray/caller/plain.py
@@ -160,7 +160,7 @@
         self, ticket: tickets.Ticket, grant: message.Grant
     ) -> None:
         request_id = self._asked.info.request_id
-        url = self._desk.network.find_url(grant.backend)
+        url = self._desk.backends.find_url(grant.backend)
         if url is None:
             ticket.report(tickets.ConnectFailed(request_id))
             return
@@ -171,11 +171,13 @@
             ticket.report(tickets.ConnectFailed(request_id))
         except service_client.BrokenError:
             ended = message.Ended(request_id, 0, 0.0, False, certain=False)
-            ticket.report(tickets.Lost(ended, message.Reason.BACKEND_LOST))
+            ticket.report(
+                tickets.AnswerLost(ended, message.Reason.BACKEND_LOST)
+            )
         else:
             elapsed = steadyclock.read() - began
             first = message.FirstToken(request_id, elapsed, 0, 0)
-            ticket.report(tickets.Begun(first))
+            ticket.report(tickets.FirstTokenReceived(first))
             ended = message.Ended(request_id, 0, 0.0, True)
             ticket.report(tickets.Completed(ended, self._answer.status))
 
--- a/ramptray/caller/request.py
+++ b/ramptray/caller/request.py
@@ -48,7 +48,7 @@
     """
 
     info: message.RequestInfo
-    wish: tickets.ClaimWish | None
+    wish: tickets.ClaimRequest | None
 
 
 def find_customer(
@@ -199,9 +199,9 @@
 
 def _make_wish(
     info: message.RequestInfo, key: str, body: bytes
-) -> tickets.ClaimWish:
+) -> tickets.ClaimRequest:
     name = f"{info.customer}\n{info.shard.service}\n{key}"
-    return tickets.ClaimWish(
+    return tickets.ClaimRequest(
         hashlib.sha256(name.encode()).hexdigest()[:32],
         hashlib.sha256(body).hexdigest()[:32],
     )
--- a/ramptray/entry/blocked.py
+++ b/ramptray/entry/block_propagator.py
@@ -12,7 +12,7 @@
 LOG = logging.getLogger(__name__)
 
 
-class BlockedContents:
+class BlockPropagator:
     """Passes blocks on between this VM's list and the schedulers it uses.
 
     A scheduler tells each entry that attaches, and each entry tells each
@@ -37,20 +37,20 @@
         self._list_links = list_links
         blocks.on_change(self._spread)
 
-    def get_left(self, content: str, now: float) -> float:
+    def get_remaining_s(self, content: str, now: float) -> float:
         """Returns for how many seconds a content stays blocked; 0 if not."""
         return self._blocks.get_remaining_s(content, now)
 
-    def tell_all(self, address: str, now: float) -> None:
+    def send_all(self, address: str, now: float) -> None:
         """Tells a scheduler all that is known here."""
         if len(self._blocks):
             told = peer_message.BlockedContents(self._blocks.list_updates(now))
             self._tell(address, told)
 
-    def take(self, address: str, told: peer_message.BlockedContents) -> bool:
+    def merge(self, address: str, told: peer_message.BlockedContents) -> bool:
         """Takes what a scheduler tells; tells whether any of it is new."""
         new = self._blocks.merge(told.blocks, steadyclock.read())
-        log_taken(new, address)
+        log_merged_blocks(new, address)
         return bool(new)
 
     def _spread(self, news: list[blocklist.BlockUpdate]) -> None:
@@ -58,7 +58,7 @@
             self._tell(address, peer_message.BlockedContents(news))
 
 
-def log_taken(new: list[blocklist.Block], address: str) -> None:
+def log_merged_blocks(new: list[blocklist.Block], address: str) -> None:
     """Writes a line for each block that another process told of."""
     for block in new:
         LOG.warning(
--- a/ramptray/entry/claims.py
+++ b/ramptray/entry/claims.py
@@ -26,7 +26,7 @@
     def __init__(
         self,
         zone: str,
-        known: owners.Owners,
+        known: owners.OwnerSelector,
         tell: Callable[[str, object], None],
     ) -> None:
         self._zone = zone
@@ -35,28 +35,28 @@
 
     def send(self, ticket: tickets.Ticket) -> None:
         """Claims the request's key for it."""
-        assert ticket.wish is not None
-        wish = ticket.wish
+        assert ticket.claim_request is not None
+        wish = ticket.claim_request
         attempt = ticket.info.request_id
         body = peer_message.ClaimKey(wish.key, attempt, wish.digest)
         self._tell_owner(wish.key, body)
 
     def release(self, ticket: tickets.Ticket) -> None:
         """Says that the request will never be dispatched."""
-        assert ticket.wish is not None
-        key = ticket.wish.key
+        assert ticket.claim_request is not None
+        key = ticket.claim_request.key
         body = peer_message.ReleaseKey(key, ticket.info.request_id)
         self._tell_owner(key, body)
 
     def finish(self, ticket: tickets.Ticket, status: int) -> None:
         """Says that the request's answer was whole."""
-        assert ticket.wish is not None
-        key = ticket.wish.key
+        assert ticket.claim_request is not None
+        key = ticket.claim_request.key
         body = peer_message.FinishKey(key, ticket.info.request_id, status)
         self._tell_owner(key, body)
 
     def _tell_owner(self, key: str, body: object) -> None:
         shard: message.ShardKey = claim.get_partition_shard(self._zone, key)
-        owner = self._owners.find(shard, steadyclock.read())
+        owner = self._owners.find_owner(shard, steadyclock.read())
         if owner is not None:
             self._tell(owner, body)
--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -19,13 +19,13 @@
 from ramptray.bundle import acceptance, signature
 from ramptray.core import blocklist, claim, message, request, retry
 from ramptray.entry import (
-    blocked,
+    backend_directory,
+    block_propagator,
     claims,
     lag,
-    network,
     owners,
-    patience,
     server_hints,
+    timeouts,
 )
 from ramptray.entry import ticket as tickets
 from ramptray.peer import attachment
@@ -33,18 +33,18 @@
 
 LOG = logging.getLogger(__name__)
 
-TICK_S = 0.05
+TICK_INTERVAL_S = 0.05
 RETRY_AFTER_S = 1.0
 """Retry-After of a VM that finds no scheduler to ask, in seconds."""
 
-ATTEMPT_RETRY_S = 0.05
+ATTEMPT_RETRY_AFTER_S = 0.05
 """When to come back after the last attempt of a request has failed, in seconds:
 the owner knows of the failure by then and decides anew, or says itself how long
 its queue takes.  A longer pause makes answers late while many servers turn
 requests away."""
 
 
-class Home(Protocol):
+class DispatcherSettings(Protocol):
     """Where an entry stands; settings of any program that has one.
 
     Attributes:
@@ -70,23 +70,24 @@
     """Owns the request machines and the links to schedulers.
 
     Attributes:
-        network: State of the backend servers as this entry knows it, by the
+        backends: State of the backend servers as this entry knows it, by the
             bundle in force.
         timeline: Where events are noted.
         server_hints: What backend servers say of themselves in answers.
-        on_doubt: Called with the address of a scheduler that does not reply.
+        on_silent_owner: Called with the address of a scheduler that does not
+            reply.
     """
 
     def __init__(
         self,
-        settings: Home,
+        settings: DispatcherSettings,
         equipment: runtime.Runtime,
         budget: retry.RetryBudget | None = None,
         shares_limits: bool = False,
         blocks: blocklist.Blocklist | None = None,
-        longest_pause_s: float = server_hints.LONGEST_PAUSE_S,
+        longest_pause_s: float = server_hints.MAX_PAUSE_S,
     ) -> None:
-        self.network = network.Network()
+        self.backends = backend_directory.BackendDirectory()
         self.timeline = equipment.timeline
         self._name = equipment.name
         self._vm = settings.vm
@@ -98,40 +99,40 @@
         )
         self._tickets: dict[str, tickets.Ticket] = {}
         self._links: dict[str, attachment.Attachment] = {}
-        self._owners = owners.Owners(
+        self._owners = owners.OwnerSelector(
             settings.zone, settings.scheduler, shares_limits
         )
         self._claims = claims.ClaimSender(
             settings.zone, self._owners, self._send_any
         )
-        self._blocked = blocked.BlockedContents(
+        self._block_propagator = block_propagator.BlockPropagator(
             blocklist.Blocklist() if blocks is None else blocks,
             self._send_any,
             lambda: list(self._links),
         )
-        self.server_hints = server_hints.HintBook(
+        self.server_hints = server_hints.ServerHintStore(
             self._send_any,
             lambda: [*self._links, self._local],
             longest_pause_s,
         )
         self._budget = budget or retry.RetryBudget()
-        self.on_doubt: Callable[[str], None] = _do_nothing
+        self.on_silent_owner: Callable[[str], None] = _do_nothing
         self._learner = acceptance.Learner()
         self._has_work = anyio.Event()
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._lag = lag.TickLag(TICK_S)
+        self._lag = lag.TickLag(TICK_INTERVAL_S)
 
     @property
     def in_force(self) -> acceptance.InForce | None:
         """The bundle in force, if any."""
-        return self.network.in_force
+        return self.backends.in_force
 
     @property
     def request_count(self) -> int:
         """How many requests have not ended."""
         return len(self._tickets)
 
-    def may_repeat(self, ticket: tickets.Ticket) -> bool:
+    def may_retry(self, ticket: tickets.Ticket) -> bool:
         """Returns whether another attempt of a request would be allowed now."""
         machine = ticket.machine
         now = steadyclock.read()
@@ -142,7 +143,7 @@
         )
 
     def submit(
-        self, info: message.RequestInfo, wish: tickets.ClaimWish | None
+        self, info: message.RequestInfo, wish: tickets.ClaimRequest | None
     ) -> tickets.Ticket:
         """Takes a new request; its effects arrive on the ticket."""
         ticket = tickets.Ticket(info, wish, self._mailbox.post)
@@ -163,7 +164,7 @@
                 # An idle entry is not woken: there may be many on a machine.
                 self._has_work = anyio.Event()
                 await self._has_work.wait()
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(TICK_INTERVAL_S)
             self.tick(steadyclock.read())
 
     def _handle(self, event: tickets.Event, now: float) -> None:
@@ -187,13 +188,13 @@
         match event:
             case tickets.ConnectFailed(_, refused):
                 if not refused:
-                    self.network.note_silent(machine.backend, now)
+                    self.backends.record_connect_failure(machine.backend, now)
                 machine.info = self._get_info(ticket, now)
                 self._perform(ticket, machine.fail_connect(refused), now)
             case tickets.GrantUnusable(_, reason):
                 self._return_grant(ticket, reason, now)
-            case tickets.Begun(first):
-                self.network.note_answer(machine.backend, now)
+            case tickets.FirstTokenReceived(first):
+                self.backends.record_answer(machine.backend, now)
                 if machine.owner:
                     self._send(machine.owner, self._lag.exclude(first))
                 self.timeline.note(
@@ -202,23 +203,23 @@
                     elapsed_s=round(first.elapsed_s, 4),
                 )
             case tickets.Completed(ended, status):
-                if ticket.wish:
+                if ticket.claim_request:
                     self._claims.finish(ticket, status)
                 self._perform(ticket, machine.complete(ended), now)
             case tickets.Refused(ended):
                 self._perform(ticket, machine.end_refused(ended), now)
             case tickets.AttemptFailed():
                 self._end_attempt(ticket, event, now)
-            case tickets.Lost(ended, reason):
+            case tickets.AnswerLost(ended, reason):
                 self._perform(ticket, machine.end_unknown(reason, ended), now)
-            case tickets.Abandoned(ended):
+            case tickets.CallerDisconnected(ended):
                 self._perform(ticket, machine.cancel(ended), now)
 
     def _get_info(
         self, ticket: tickets.Ticket, now: float
     ) -> message.RequestInfo:
         """Returns a request's facts as they are now."""
-        return ticket.get_info(now, self.network.list_avoided(now))
+        return ticket.get_info(now, self.backends.list_unreachable(now))
 
     def _return_grant(
         self,
@@ -253,7 +254,7 @@
         wanted = (
             now < ticket.deadline
             and (event.not_run or info.repeatable)
-            and not self._blocked.get_left(info.content, now)
+            and not self._block_propagator.get_remaining_s(info.content, now)
         )
         may_repeat = (
             wanted
@@ -261,7 +262,7 @@
             and self._budget.try_take(info.shard.service, now)
         )
         finish = request.Finish(
-            message.Outcome.UNKNOWN, event.reason, ATTEMPT_RETRY_S
+            message.Outcome.UNKNOWN, event.reason, ATTEMPT_RETRY_AFTER_S
         )
         backend = ticket.machine.backend
         ticket.machine.info = self._get_info(ticket, now)
@@ -298,10 +299,10 @@
             content=info.content or None,
             generation=self.in_force.generation if self.in_force else None,
         )
-        if left_s := self._blocked.get_left(info.content, now):
+        if left_s := self._block_propagator.get_remaining_s(info.content, now):
             self._refuse_blocked(ticket, left_s, now)
             return
-        if ticket.wish:
+        if ticket.claim_request:
             self._claims.send(ticket)
         self._assign(ticket, now)
 
@@ -314,20 +315,22 @@
     def _assign(self, ticket: tickets.Ticket, now: float) -> None:
         """Finds the request's owner and asks it, or notes there is none."""
         shard = ticket.machine.info.shard
-        if shard.zone != self._zone and not self._owners.reaches(shard.zone):
+        if shard.zone != self._zone and not self._owners.is_zone_reachable(
+            shard.zone
+        ):
             # Fall back to the local zone.
             shard = msgspec.structs.replace(shard, zone=self._zone)
             ticket.machine.info = msgspec.structs.replace(
                 ticket.machine.info, shard=shard
             )
-        owner = self._owners.find(shard, now)
+        owner = self._owners.find_owner(shard, now)
         if owner is None:
-            ticket.down_since = ticket.down_since or now
+            ticket.no_owner_since = ticket.no_owner_since or now
             return
-        ticket.down_since = None
+        ticket.no_owner_since = None
         if owner == ticket.machine.owner:
             return
-        dispatched = ticket.dispatched
+        dispatched = ticket.dispatched_at
         elapsed = now - dispatched if dispatched is not None else 0.0
         effects = ticket.machine.assign(
             owner, self._get_info(ticket, now), elapsed
@@ -344,19 +347,19 @@
             match effect:
                 case request.SendToOwner(owner, sent):
                     if isinstance(sent, message.Enqueue):
-                        ticket.asked_at = now
+                        ticket.enqueued_at = now
                         ticket.awaiting_reply = True
                     self._send(owner, sent)
                 case request.Dispatch(grant):
-                    ticket.dispatched = now
+                    ticket.dispatched_at = now
                     self.timeline.note(
                         "dispatch",
                         grant.request_id,
                         backend=grant.backend,
                         owner=grant.owner,
-                        age_s=round(now - ticket.began, 4),
+                        age_s=round(now - ticket.started_at, 4),
                     )
-                    ticket.perform(effect)
+                    ticket.send_effect(effect)
                 case request.Finish(outcome, reason):
                     self._tickets.pop(ticket.info.request_id, None)
                     self.timeline.note(
@@ -366,9 +369,9 @@
                         reason=reason.value if reason else None,
                         owner=ticket.machine.owner,
                         attempts=ticket.machine.dispatches,
-                        age_s=round(now - ticket.began, 4),
+                        age_s=round(now - ticket.started_at, 4),
                     )
-                    ticket.perform(effect)
+                    ticket.send_effect(effect)
                 case request.Release():
                     self._claims.release(ticket)
                 case request.Cancel():
@@ -389,7 +392,7 @@
     # Schedulers.
 
     def _receive(self, address: str, body: object, now: float) -> None:
-        self._owners.note_message(address, now)
+        self._owners.record_message(address, now)
         match body:
             case message.Grant(request_id):
                 self._note_answer(address, request_id, now)
@@ -412,7 +415,7 @@
             case peer_message.ClaimDecision():
                 self._decide_claim(body, now)
             case peer_message.BlockedContents():
-                self._blocked.take(address, body)
+                self._block_propagator.merge(address, body)
             case peer_message.View() if address == self._local:
                 self._take_view(body, now)
             case peer_message.BundleUpdate(envelope):
@@ -425,7 +428,7 @@
             return
         if ticket.machine.owner == address:
             ticket.awaiting_reply = False
-            self._owners.note_answer(address, now - ticket.asked_at)
+            self._owners.record_reply(address, now - ticket.enqueued_at)
 
     def _take_grant(
         self, grant: message.Grant, request_id: str, now: float
@@ -461,11 +464,11 @@
         self._perform(ticket, effects, now)
 
     def _take_view(self, view: peer_message.View, now: float) -> None:
-        known = self._owners.take_view(view)
-        self.network.take_view(view)
+        known = self._owners.apply_view(view)
+        self.backends.apply_view(view)
         for address in set(self._links) - known - {self._local}:
             self._links.pop(address).stop()
-            self._owners.forget(address)
+            self._owners.remove(address)
         self._open_owner_links(now)
         self._reassign_all(now)
 
@@ -480,14 +483,14 @@
         for name, service in self.in_force.bundle.services.items():
             for number in range(service.shards):
                 key = message.ShardKey(self._zone, name, number)
-                owner = self._owners.find(key, now)
+                owner = self._owners.find_owner(key, now)
                 if owner is not None:
                     self._open_link(owner)
 
     def _take_bundle(self, address: str, envelope: signature.Envelope) -> None:
         if self._learner.learn(envelope):
             assert self._learner.in_force is not None
-            self.network.take_in_force(self._learner.in_force)
+            self.backends.apply_bundle(self._learner.in_force)
             generation = self._learner.in_force.generation
             self.timeline.note("bundle", f"generation-{generation}")
             LOG.info("bundle in force", extra={"generation": generation})
@@ -520,8 +523,8 @@
 
     def _sync(self, address: str, now: float) -> None:
         """Sends a scheduler all that waits or runs with it."""
-        self._owners.note_up(address)
-        self._blocked.tell_all(address, now)
+        self._owners.mark_up(address)
+        self._block_propagator.send_all(address, now)
         self.server_hints.send_all(address, now)
         for ticket in self._tickets.values():
             if ticket.machine.owner == address:
@@ -534,14 +537,14 @@
     def _resend(self, ticket: tickets.Ticket, now: float) -> None:
         owner = ticket.machine.owner
         assert owner is not None
-        since = ticket.dispatched
+        since = ticket.dispatched_at
         effects = ticket.machine.assign(
             owner, self._get_info(ticket, now), now - since if since else 0.0
         )
         self._perform(ticket, effects, now)
 
     def _lose_link(self, address: str, now: float) -> None:
-        self._owners.note_down(address)
+        self._owners.mark_down(address)
         self._reassign_all(now)
 
     def _reassign_all(self, now: float) -> None:
@@ -563,20 +566,20 @@
             for ticket in self._tickets.values()
             if ticket.machine.state is request.State.WAITING
             and ticket.machine.owner is not None
-            and patience.is_silent(
+            and timeouts.is_owner_silent(
                 ticket, self._owners, ticket.machine.owner, now
             )
         }
         doubted = [
             owner
             for owner in silent
-            if owner is not None and self._owners.doubt(owner, now)
+            if owner is not None and self._owners.back_off(owner, now)
         ]
         for owner in doubted:
-            self.on_doubt(owner)
+            self.on_silent_owner(owner)
             # Its whole zone may be cut off; opening a connection shows it.
             zone = self._owners.get_availability_zone(owner)
-            self.network.distrust_zone(zone)
+            self.backends.reset_zone_connections(zone)
         if doubted:
             self._reassign_all(now)
 
@@ -585,7 +588,7 @@
         if not self._lag.observe(now):
             self._suspect_silent_owners(now)
         for ticket in list(self._tickets.values()):
-            reason = patience.find_give_up_reason(ticket, now)
+            reason = timeouts.find_timeout_reason(ticket, now)
             if reason is not None:
                 effects = ticket.machine.reject(reason, RETRY_AFTER_S)
                 self._perform(ticket, effects, now)
--- a/ramptray/entry/exchange.py
+++ b/ramptray/entry/exchange.py
@@ -18,10 +18,10 @@
 from ramptray.engine import event
 from ramptray.entry import ticket as tickets
 
-RESUME_S = 8.0
+RESUME_TIMEOUT_S = 8.0
 """How long a broken stream is tried to be resumed, in seconds."""
 
-RESUME_PAUSE_S = 0.2
+RESUME_INTERVAL_S = 0.2
 SERVER_ERROR = 500
 UNAVAILABLE = 503
 BUFFER_EVENTS = 256
@@ -87,7 +87,7 @@
         self._first_at: float | None = None
         self._url: str | None = None
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """Ends the exchange because the caller has gone."""
         self._scope.cancel()
 
@@ -104,7 +104,7 @@
             await self._leave()
 
     async def _leave(self) -> None:
-        self._ticket.report(tickets.Abandoned(self._make_ended(False)))
+        self._ticket.report(tickets.CallerDisconnected(self._make_ended(False)))
         if self._url is None:
             return
         with anyio.CancelScope(shield=True):
@@ -154,7 +154,7 @@
         An engine with a long queue is silent for long; a request that waits
         there is not lost before its deadline.
         """
-        gives_up_at = steadyclock.read() + RESUME_S
+        gives_up_at = steadyclock.read() + RESUME_TIMEOUT_S
         while steadyclock.read() < gives_up_at:
             try:
                 async with self._client.resume(
@@ -167,15 +167,17 @@
                 self._lose(message.Reason.BACKEND_LOST)
                 return
             except engine_client.NotSentError:
-                gives_up_at = min(gives_up_at, steadyclock.read() + RESUME_S)
-                await anyio.sleep(RESUME_PAUSE_S)
+                gives_up_at = min(
+                    gives_up_at, steadyclock.read() + RESUME_TIMEOUT_S
+                )
+                await anyio.sleep(RESUME_INTERVAL_S)
             except (engine_client.EngineError, StreamEndedError):
-                await anyio.sleep(RESUME_PAUSE_S)
+                await anyio.sleep(RESUME_INTERVAL_S)
         self._lose(message.Reason.STREAM_BROKEN)
 
     def _lose(self, reason: message.Reason) -> None:
         ended = self._make_ended(False, certain=False)
-        self._ticket.report(tickets.Lost(ended, reason))
+        self._ticket.report(tickets.AnswerLost(ended, reason))
 
     async def _pass_on(self, events: AsyncIterator[event.Event]) -> None:
         async for found in events:
@@ -203,7 +205,7 @@
             max(0, usage.prompt_tokens - cached),
             cached,
         )
-        self._ticket.report(tickets.Begun(first))
+        self._ticket.report(tickets.FirstTokenReceived(first))
 
     async def _put(self, item: Item) -> None:
         """Hands an item to the caller; one that does not read is dropped."""
--- a/ramptray/entry/owners.py
+++ b/ramptray/entry/owners.py
@@ -12,20 +12,20 @@
 
 LOG = logging.getLogger(__name__)
 
-DOUBT_S = 1.0
+FIRST_BACKOFF_S = 1.0
 """How long a silent scheduler is not asked, in seconds: about the time in which
 the membership finds a dead one."""
 
-MAX_DOUBT_S = 8.0
+MAX_BACKOFF_S = 8.0
 """How long a scheduler that stays silent is not asked at most, in seconds."""
 
 
-ANSWER_S = 0.12
+MIN_REPLY_TIMEOUT_S = 0.12
 """How long a scheduler may leave a new request without a word at least, in
 seconds: a round trip and its work take a few milliseconds, a first token some
 hundred."""
 
-MAX_ANSWER_S = 1.0
+MAX_REPLY_TIMEOUT_S = 1.0
 """The same at most, in seconds, where it has been answering late: by then the
 membership has found out whether it is lost."""
 
@@ -37,7 +37,7 @@
     length_s: float
 
 
-class Owners:
+class OwnerSelector:
     """Chooses the owner of a shard from what is known of the schedulers.
 
     Args:
@@ -50,7 +50,7 @@
         self, zone: str, local: str, shares_limits: bool = False
     ) -> None:
         self._shares_limits = shares_limits
-        self.others: list[membership.Member] = []
+        self.remote_members: list[membership.Member] = []
         self._zone = zone
         self._local = local
         self._members: dict[str, membership.Member] = {}
@@ -62,24 +62,24 @@
         # the messages to it.
         self._picked: dict[tuple[str, str], str | None] = {}
 
-    def take_view(self, view: peer_message.View) -> frozenset[str]:
+    def apply_view(self, view: peer_message.View) -> frozenset[str]:
         """Takes a new view and returns the addresses in it."""
         self._members = {m.vm: m for m in view.members}
-        self.others = view.others
+        self.remote_members = view.others
         self._picked.clear()
         return frozenset(m.address for m in (*view.members, *view.others))
 
-    def note_down(self, address: str) -> None:
+    def mark_down(self, address: str) -> None:
         """Notes that the link to a scheduler is broken."""
         self._down.add(address)
         self._picked.clear()
 
-    def note_up(self, address: str) -> None:
+    def mark_up(self, address: str) -> None:
         """Notes that the link to a scheduler is open."""
         self._down.discard(address)
         self._picked.clear()
 
-    def forget(self, address: str) -> None:
+    def remove(self, address: str) -> None:
         """Forgets a scheduler that is in no view any more."""
         self._down.discard(address)
         self._picked.clear()
@@ -91,24 +91,26 @@
         """Returns whether the link to a scheduler is broken."""
         return address in self._down
 
-    def note_message(self, address: str, now: float) -> None:
+    def record_message(self, address: str, now: float) -> None:
         """Notes that a message of a scheduler has come."""
         self._heard[address] = now
         if self._doubts.pop(address, None):
             LOG.info("owner replies again", extra={"owner": address})
 
-    def note_answer(self, address: str, delay_s: float) -> None:
+    def record_reply(self, address: str, delay_s: float) -> None:
         """Observes how long a scheduler took for its first reply."""
         if address not in self._rtts:
-            self._rtts[address] = rtt.RttEstimator(ANSWER_S, MAX_ANSWER_S)
+            self._rtts[address] = rtt.RttEstimator(
+                MIN_REPLY_TIMEOUT_S, MAX_REPLY_TIMEOUT_S
+            )
         self._rtts[address].observe(delay_s)
 
-    def get_longest_answer(self, address: str) -> float:
+    def get_reply_timeout_s(self, address: str) -> float:
         """Returns after how many seconds a scheduler's answer is missing."""
         known = self._rtts.get(address)
-        return known.timeout_s if known else ANSWER_S
+        return known.timeout_s if known else MIN_REPLY_TIMEOUT_S
 
-    def get_silence(self, address: str, since: float, now: float) -> float:
+    def get_silence_s(self, address: str, since: float, now: float) -> float:
         """Returns for how long a scheduler has said nothing, in seconds.
 
         Args:
@@ -118,7 +120,7 @@
         """
         return now - max(since, self._heard.get(address, 0.0))
 
-    def doubt(self, address: str, now: float) -> bool:
+    def back_off(self, address: str, now: float) -> bool:
         """Asks a silent scheduler no more for a while; longer each time.
 
         Returns:
@@ -127,7 +129,11 @@
         if address == self._local or self._is_doubted(address, now):
             return False
         former = self._doubts.get(address)
-        length_s = min(former.length_s * 2, MAX_DOUBT_S) if former else DOUBT_S
+        length_s = (
+            min(former.length_s * 2, MAX_BACKOFF_S)
+            if former
+            else FIRST_BACKOFF_S
+        )
         self._doubts[address] = _Doubt(now + length_s, length_s)
         LOG.warning(
             "owner is silent",
@@ -146,14 +152,14 @@
             "",
         )
 
-    def reaches(self, zone: str) -> bool:
+    def is_zone_reachable(self, zone: str) -> bool:
         """Returns whether a scheduler of another zone can be reached."""
         return any(
             member.zone == zone and member.address not in self._down
-            for member in self.others
+            for member in self.remote_members
         )
 
-    def find(self, shard: message.ShardKey, now: float) -> str | None:
+    def find_owner(self, shard: message.ShardKey, now: float) -> str | None:
         """Returns the address of the scheduler to ask for a shard.
 
         While the owner is silent one of the same availability zone stands in,
@@ -183,8 +189,8 @@
                 self._pick(shard, members)
                 for members in (
                     [m for m in self._members.values() if m.zone == shard.zone],
-                    [m for m in self.others if m.zone == shard.zone],
-                    self.others,
+                    [m for m in self.remote_members if m.zone == shard.zone],
+                    self.remote_members,
                 )
             )
             self._picked[key] = next(filter(None, found), None)
--- a/ramptray/entry/reach.py
+++ b/ramptray/entry/reachability.py
@@ -15,14 +15,14 @@
 
 LOG = logging.getLogger(__name__)
 
-FIRST_PAUSE_S = 0.5
+FIRST_BACKOFF_S = 0.5
 """How long a silent backend server alone is avoided first, in seconds."""
 
-MAX_PAUSE_S = 2.0
+MAX_BACKOFF_S = 2.0
 """How long it is avoided at most before it is tried again, in seconds: a try
 costs one request the time to open a connection."""
 
-FRESH_S = 0.5
+ANSWER_VALIDITY_S = 0.5
 """An answer this recent shows that its zone can be reached, in seconds."""
 
 
@@ -31,7 +31,7 @@
     length_s: float
 
 
-class Reach:
+class Reachability:
     """Remembers silent backend servers and zones; a plain object."""
 
     def __init__(self) -> None:
@@ -40,14 +40,16 @@
         self._doubted: set[str] = set()
         self._answered: dict[str, float] = {}
 
-    def note_silent(self, backend: str, zone: str, now: float) -> bool:
+    def record_connect_failure(
+        self, backend: str, zone: str, now: float
+    ) -> bool:
         """Notes that a connection to a backend server could not be opened.
 
         Returns:
             Whether its whole zone is taken for silent from now on.
         """
         self._servers[backend] = _lengthen(self._servers.get(backend), now)
-        if now - self._answered.get(zone, float("-inf")) < FRESH_S:
+        if now - self._answered.get(zone, float("-inf")) < ANSWER_VALIDITY_S:
             return False
         if zone in self._zones:
             return False
@@ -57,7 +59,7 @@
         )
         return True
 
-    def note_lost_vms(self, zone: str) -> None:
+    def record_lost_vms(self, zone: str) -> None:
         """Notes that no VM of a zone is heard any more.
 
         They may be down, or cut off together with the backend servers there,
@@ -66,7 +68,7 @@
         self._doubted.add(zone)
         LOG.warning("no VM of a zone is heard", extra={"doubted_zone": zone})
 
-    def note_answer(self, backend: str, zone: str, now: float) -> None:
+    def record_answer(self, backend: str, zone: str, now: float) -> None:
         """Notes that a backend server has answered."""
         self._answered[zone] = now
         self._servers.pop(backend, None)
@@ -75,19 +77,19 @@
             self._zones.remove(zone)
             LOG.info("zone answers again", extra={"silent_zone": zone})
 
-    def forget(self, backend: str) -> None:
+    def remove(self, backend: str) -> None:
         """Forgets the silence of a backend server that has started again."""
         self._servers.pop(backend, None)
 
-    def list_probed_zones(self) -> frozenset[str]:
+    def list_unreachable_zones(self) -> frozenset[str]:
         """Returns the zones that are avoided until a probe succeeds."""
         return frozenset(self._zones)
 
-    def list_silent_zones(self) -> frozenset[str]:
+    def list_suspect_zones(self) -> frozenset[str]:
         """Returns the zones that have not answered since they were lost."""
         return frozenset(self._zones | self._doubted)
 
-    def list_avoided(
+    def list_unreachable(
         self, zones: Mapping[str, str], now: float
     ) -> tuple[str, ...]:
         """Returns the backend servers that are not to be tried now.
@@ -108,7 +110,7 @@
 
 def _lengthen(former: _Pause | None, now: float) -> _Pause:
     """Returns the next pause, longer than one that has just ended."""
-    length_s = FIRST_PAUSE_S
-    if former is not None and now - former.until < MAX_PAUSE_S:
-        length_s = min(former.length_s * 2, MAX_PAUSE_S)
+    length_s = FIRST_BACKOFF_S
+    if former is not None and now - former.until < MAX_BACKOFF_S:
+        length_s = min(former.length_s * 2, MAX_BACKOFF_S)
     return _Pause(now + length_s, length_s)
--- a/ramptray/entry/server_hints.py
+++ b/ramptray/entry/server_hints.py
@@ -16,10 +16,10 @@
 
 LOG = logging.getLogger(__name__)
 
-LONGEST_PAUSE_S = 600.0
+MAX_PAUSE_S = 600.0
 """Longest pause that is kept where the settings name no other, in seconds."""
 
-FORGET_LEAVING_S = 600.0
+LEAVING_RETENTION_S = 600.0
 """How long a leaving backend server is remembered after it has gone from the
 configuration, in seconds: an older copy of the store may bring it back."""
 
@@ -86,11 +86,11 @@
 
         The server's record may lapse or come back in an older copy.
         """
-        lately = now - self.last_listed_at < FORGET_LEAVING_S
+        lately = now - self.last_listed_at < LEAVING_RETENTION_S
         return self.paused_until > now or (self.is_leaving and lately)
 
 
-class HintBook:
+class ServerHintStore:
     """Keeps the hints of each backend server and passes them on.
 
     Args:
@@ -103,7 +103,7 @@
         self,
         send: Callable[[str, message.ServerHints], None],
         list_links: Callable[[], Iterable[str]],
-        longest_pause_s: float = LONGEST_PAUSE_S,
+        longest_pause_s: float = MAX_PAUSE_S,
     ) -> None:
         self._known: dict[str, _Hints] = {}
         self._send = send
--- a/ramptray/entry/ticket.py
+++ b/ramptray/entry/ticket.py
@@ -14,7 +14,7 @@
 from ramptray.peer import attachment
 
 
-class ClaimWish(msgspec.Struct, frozen=True):
+class ClaimRequest(msgspec.Struct, frozen=True):
     """What is claimed for a request that may not be repeated.
 
     Attributes:
@@ -56,7 +56,7 @@
     reason: server_hints.UnusableReason
 
 
-class Begun(msgspec.Struct, frozen=True):
+class FirstTokenReceived(msgspec.Struct, frozen=True):
     """The first token has arrived."""
 
     first: message.FirstToken
@@ -113,14 +113,14 @@
     fault: Fault | None = None
 
 
-class Lost(msgspec.Struct, frozen=True):
+class AnswerLost(msgspec.Struct, frozen=True):
     """The answer cannot be had any more."""
 
     ended: message.Ended
     reason: message.Reason
 
 
-class Abandoned(msgspec.Struct, frozen=True):
+class CallerDisconnected(msgspec.Struct, frozen=True):
     """The caller has gone."""
 
     ended: message.Ended
@@ -130,12 +130,12 @@
     Submitted
     | ConnectFailed
     | GrantUnusable
-    | Begun
+    | FirstTokenReceived
     | Completed
     | Refused
     | AttemptFailed
-    | Lost
-    | Abandoned
+    | AnswerLost
+    | CallerDisconnected
     | attachment.Up
     | attachment.Down
     | attachment.Said
@@ -149,17 +149,17 @@
     def __init__(
         self,
         info: message.RequestInfo,
-        wish: ClaimWish | None,
+        wish: ClaimRequest | None,
         report: Callable[[Event], None],
     ) -> None:
         self.info = info
-        self.wish = wish
+        self.claim_request = wish
         self.machine = request.RequestMachine(info, wish is not None)
-        self.dispatched: float | None = None
-        self.began = steadyclock.read()
-        self.deadline = self.began + info.deadline_s
-        self.down_since: float | None = None
-        self.asked_at = 0.0
+        self.dispatched_at: float | None = None
+        self.started_at = steadyclock.read()
+        self.deadline = self.started_at + info.deadline_s
+        self.no_owner_since: float | None = None
+        self.enqueued_at = 0.0
         self.awaiting_reply = False
         self._report = report
         # Dispatches that are refused by a backend server come back here, so
@@ -172,7 +172,7 @@
         """Hands an event to the dispatcher."""
         self._report(event)
 
-    def perform(self, effect: ExchangeEffect) -> None:
+    def send_effect(self, effect: ExchangeEffect) -> None:
         """Hands an effect to the exchange."""
         with contextlib.suppress(
             anyio.BrokenResourceError,
@@ -195,7 +195,7 @@
             now: The entry's clock.
             silent: Backend servers that this VM cannot reach.
         """
-        elapsed = now - self.began
+        elapsed = now - self.started_at
         return msgspec.structs.replace(
             self.machine.info,
             deadline_s=max(0.0, self.deadline - now),
@@ -215,14 +215,14 @@
     match event:
         case ConnectFailed(request_id) | GrantUnusable(request_id):
             return request_id
-        case Begun(first):
+        case FirstTokenReceived(first):
             return first.request_id
         case (
             Completed(ended)
             | Refused(ended)
             | AttemptFailed(ended)
-            | Lost(ended)
-            | Abandoned(ended)
+            | AnswerLost(ended)
+            | CallerDisconnected(ended)
         ):
             return ended.request_id
     return ""
--- a/ramptray/entry/patience.py
+++ b/ramptray/entry/timeouts.py
@@ -6,20 +6,20 @@
 from ramptray.entry import owners
 from ramptray.entry import ticket as tickets
 
-NO_OWNER_S = 3.0
+NO_OWNER_TIMEOUT_S = 3.0
 """How long a request waits for any scheduler before it is refused."""
 
 REFUSAL_GRACE_S = 0.12
 """How long after its time a request is left to its owner, which should have
 refused it by then, in seconds."""
 
-QUEUE_SILENCE_S = 0.4
+QUEUE_SILENCE_TIMEOUT_S = 0.4
 """How long a scheduler with waiting requests may be silent, in seconds: it says
 more than twice in that time that they still wait."""
 
 
-def is_silent(
-    ticket: tickets.Ticket, known: owners.Owners, owner: str, now: float
+def is_owner_silent(
+    ticket: tickets.Ticket, known: owners.OwnerSelector, owner: str, now: float
 ) -> bool:
     """Returns whether a request's owner has said nothing for too long.
 
@@ -31,13 +31,13 @@
         owner: Address of its owner.
         now: The entry's clock.
     """
-    silence_s = known.get_silence(owner, ticket.asked_at, now)
+    silence_s = known.get_silence_s(owner, ticket.enqueued_at, now)
     if ticket.awaiting_reply:
-        return silence_s > known.get_longest_answer(owner)
-    return silence_s > QUEUE_SILENCE_S
+        return silence_s > known.get_reply_timeout_s(owner)
+    return silence_s > QUEUE_SILENCE_TIMEOUT_S
 
 
-def find_give_up_reason(
+def find_timeout_reason(
     ticket: tickets.Ticket, now: float
 ) -> message.Reason | None:
     """Returns why a waiting request is given up; None where it is not."""
@@ -52,11 +52,11 @@
     wait_s = ticket.info.wait_s
     if wait_s is not None:
         # Of a further attempt the owner has only just been told.
-        due = max(ticket.began + wait_s, ticket.asked_at)
+        due = max(ticket.started_at + wait_s, ticket.enqueued_at)
         if now > due + REFUSAL_GRACE_S:
             # Its owner should have refused it by now.
             return message.Reason.OVERLOADED
-    down = ticket.down_since
-    if down is not None and now - down > NO_OWNER_S:
+    down = ticket.no_owner_since
+    if down is not None and now - down > NO_OWNER_TIMEOUT_S:
         return message.Reason.NOT_READY
     return None
--- a/ramptray/node/main.py
+++ b/ramptray/node/main.py
@@ -141,7 +141,7 @@
             longest_pause_s=tuned.longest_pause_s,
         )
         self._prober = prober.Prober(
-            self._desk.network, self._relay_client.probe
+            self._desk.backends, self._relay_client.probe
         )
         self._relay = relay_server.RelayServer(
             self._dialect, self._make_service().serve
@@ -174,15 +174,17 @@
             def check(address: str) -> None:
                 tasks.start_soon(self._gossiper.probe_now, address)
 
-            self._desk.on_doubt = check
-            self._desk.network.on_silent_zone = self._relay_client.distrust
+            self._desk.on_silent_owner = check
+            self._desk.backends.on_unreachable_zone = (
+                self._relay_client.distrust
+            )
 
             def end_former_runs(backend: str, run: int) -> None:
                 tasks.start_soon(
                     self._relay_client.end_former_runs, backend, run
                 )
 
-            self._desk.network.on_new_run = end_former_runs
+            self._desk.backends.on_backend_restart = end_former_runs
             await self._serve(tasks, stop)
             await peers.stop()
             await self._equipment.client.close()
@@ -245,7 +247,7 @@
         nothing: they may be down while all engines are at hand.
         """
         minority = self._gossiper.membership.is_minority()
-        part = self._desk.network.reachable_part
+        part = self._desk.backends.reachable_share
         cut = minority and part < REACHED_PART
         if cut != self._relay.state.diverting:
             self._relay.state.diverting = cut
@@ -274,7 +276,7 @@
         return probe.Page(probe.OK, text)
 
     def _take_bundle(self, in_force: acceptance.InForce) -> None:
-        self._desk.network.take_in_force(in_force)
+        self._desk.backends.apply_bundle(in_force)
         self._desk.server_hints.discard_except(
             in_force.bundle.backend_servers, steadyclock.read()
         )
--- a/ramptray/relay/exchange.py
+++ b/ramptray/relay/exchange.py
@@ -141,12 +141,16 @@
                 await self._attempt(effect.grant)
         except anyio.get_cancelled_exc_class():
             self.outcome = "caller_gone"
-            self._ticket.report(tickets.Abandoned(self._make_ended(False)))
+            self._ticket.report(
+                tickets.CallerDisconnected(self._make_ended(False))
+            )
             raise
         except Exception:
             # Its place at the backend server must not stay taken.
             self.outcome = "error"
-            self._ticket.report(tickets.Abandoned(self._make_ended(False)))
+            self._ticket.report(
+                tickets.CallerDisconnected(self._make_ended(False))
+            )
             raise
 
     async def _end(self, finish: request.Finish) -> None:
@@ -243,7 +247,7 @@
             try:
                 return await read(hang_s)
             except TimeoutError as error:
-                if self._desk.may_repeat(self._ticket):
+                if self._desk.may_retry(self._ticket):
                     raise connections.HungError(str(error)) from error
             hang_s = BUDGET_LOOK_S
         return await read(None)
@@ -359,7 +363,7 @@
         self, grant: core_message.Grant
     ) -> connections.Target | None:
         """Returns whom a grant sends to, None where that may get no work."""
-        url = self._desk.network.pick_url(grant)
+        url = self._desk.backends.get_granted_url(grant)
         if url is None:
             return None
         address = url.removeprefix("http://")
@@ -385,7 +389,7 @@
             None,
             0,
         )
-        self._ticket.report(tickets.Begun(first))
+        self._ticket.report(tickets.FirstTokenReceived(first))
 
     def _complete(self, status: int) -> None:
         ended = msgspec.structs.replace(
@@ -422,7 +426,7 @@
 
     def _lose(self, reason: core_message.Reason) -> None:
         ended = self._make_ended(False)
-        self._ticket.report(tickets.Lost(ended, reason))
+        self._ticket.report(tickets.AnswerLost(ended, reason))
 
     def _make_ended(self, whole: bool) -> core_message.Ended:
         decode_s = 0.0
--- a/ramptray/relay/service.py
+++ b/ramptray/relay/service.py
@@ -66,7 +66,7 @@
         self, asked: message.CallerRequest, reply: exchange.Reply
     ) -> None:
         """Serves one request to the end of its answer."""
-        in_force = await self._desk.network.wait_in_force(IN_FORCE_WAIT_S)
+        in_force = await self._desk.backends.wait_for_bundle(IN_FORCE_WAIT_S)
         if in_force is None:
             await self._refuse(
                 asked,
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -22,7 +22,7 @@
     policy,
     shard,
 )
-from ramptray.entry import blocked
+from ramptray.entry import block_propagator
 from ramptray.peer import link as peer_link
 from ramptray.peer import message as peer_message
 from ramptray.scheduler import (
@@ -245,7 +245,7 @@
                 self._timeline_queries.forward_answer(session, body)
             case peer_message.BlockedContents(blocks):
                 new = self.blocks.merge(blocks, now)
-                blocked.log_taken(new, attached.hello.name)
+                block_propagator.log_merged_blocks(new, attached.hello.name)
             case peer_message.InForceReport(generation):
                 attached.generation = generation
             case peer_message.LeaseReport(held):
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -17,7 +17,7 @@
     request,
     retry,
 )
-from ramptray.entry import owners, reach
+from ramptray.entry import owners, reachability
 from ramptray.peer import message as peer_message
 from ramptray.platform import header
 from ramptray.relay import client, connection, event
@@ -135,33 +135,33 @@
     assert budget.try_take("s", 12.0)
 
 
-def make_owners() -> owners.Owners:
-    made = owners.Owners("all", LOCAL)
+def make_owners() -> owners.OwnerSelector:
+    made = owners.OwnerSelector("all", LOCAL)
     members = [
         membership.Member("vm-a", "all", LOCAL, 1),
         membership.Member("vm-b", "all", OWNER, 1),
     ]
-    made.take_view(peer_message.View(members, []))
+    made.apply_view(peer_message.View(members, []))
     return made
 
 
-def find_foreign_shard(made: owners.Owners) -> message.ShardKey:
+def find_foreign_shard(made: owners.OwnerSelector) -> message.ShardKey:
     """Returns a shard that the other VM owns."""
     shards = (message.ShardKey("all", f"s{n}") for n in range(50))
-    return next(s for s in shards if made.find(s, 0.0) == OWNER)
+    return next(s for s in shards if made.find_owner(s, 0.0) == OWNER)
 
 
 def test_the_local_scheduler_stands_in_for_a_silent_owner() -> None:
     made = make_owners()
     shard = find_foreign_shard(made)
-    assert made.doubt(OWNER, 10.0)
-    assert not made.doubt(OWNER, 10.1)
-    assert made.find(shard, 10.5) == LOCAL
-    assert made.find(shard, 10.0 + owners.DOUBT_S) == OWNER
-    assert made.doubt(OWNER, 12.0)
-    assert made.find(shard, 12.0 + owners.DOUBT_S * 1.5) == LOCAL
-    made.note_message(OWNER, 12.1)
-    assert made.find(shard, 12.2) == OWNER
+    assert made.back_off(OWNER, 10.0)
+    assert not made.back_off(OWNER, 10.1)
+    assert made.find_owner(shard, 10.5) == LOCAL
+    assert made.find_owner(shard, 10.0 + owners.FIRST_BACKOFF_S) == OWNER
+    assert made.back_off(OWNER, 12.0)
+    assert made.find_owner(shard, 12.0 + owners.FIRST_BACKOFF_S * 1.5) == LOCAL
+    made.record_message(OWNER, 12.1)
+    assert made.find_owner(shard, 12.2) == OWNER
 
 
 def test_one_of_the_same_zone_stands_in_for_a_silent_owner() -> None:
@@ -174,32 +174,32 @@
         )
         for n, (vm, zone) in enumerate(zones.items())
     ]
-    made = [owners.Owners("all", f"vm{n}:1") for n in range(4)]
+    made = [owners.OwnerSelector("all", f"vm{n}:1") for n in range(4)]
     for one in made:
-        one.take_view(peer_message.View(members, []))
-    owner = made[0].find(shard, 10.0)
+        one.apply_view(peer_message.View(members, []))
+    owner = made[0].find_owner(shard, 10.0)
     assert owner is not None
     for one in made:
-        assert one.find(shard, 10.0) == owner
-        one.doubt(owner, 10.0)
-    (stand_in,) = {one.find(shard, 10.1) for one in made} - {owner}
+        assert one.find_owner(shard, 10.0) == owner
+        one.back_off(owner, 10.0)
+    (stand_in,) = {one.find_owner(shard, 10.1) for one in made} - {owner}
     assert stand_in in {"vm1:1", "vm3:1"}
 
 
 def test_the_local_scheduler_is_never_doubted() -> None:
-    assert not make_owners().doubt(LOCAL, 1.0)
+    assert not make_owners().back_off(LOCAL, 1.0)
 
 
 def test_a_silent_server_makes_its_zone_doubtful_for_a_moment() -> None:
-    known = reach.Reach()
+    known = reachability.Reachability()
     zones = {"a1": "a", "a2": "a", "b1": "b"}
-    known.note_silent("a1", "a", 10.0)
-    assert known.list_avoided(zones, 10.1) == ("a1", "a2")
-    known.note_answer("a2", "a", 10.2)
-    assert known.list_avoided(zones, 10.3) == ("a1",)
-    known.note_silent("a1", "a", 10.4)
-    assert known.list_avoided(zones, 10.5) == ("a1",)
-    assert known.list_avoided(zones, 20.0) == ()
+    known.record_connect_failure("a1", "a", 10.0)
+    assert known.list_unreachable(zones, 10.1) == ("a1", "a2")
+    known.record_answer("a2", "a", 10.2)
+    assert known.list_unreachable(zones, 10.3) == ("a1",)
+    known.record_connect_failure("a1", "a", 10.4)
+    assert known.list_unreachable(zones, 10.5) == ("a1",)
+    assert known.list_unreachable(zones, 20.0) == ()
 
 
 def test_a_customer_s_large_requests_get_through_like_small_ones() -> None:
@@ -304,12 +304,12 @@
 
 
 def test_a_zone_is_silent_until_it_answers() -> None:
-    known = reach.Reach()
-    assert known.note_silent("b", "z", 10.0)
-    assert not known.note_silent("c", "z", 10.1)
-    assert known.list_silent_zones() == {"z"}
-    known.note_answer("b", "z", 30.0)
-    assert not known.list_silent_zones()
+    known = reachability.Reachability()
+    assert known.record_connect_failure("b", "z", 10.0)
+    assert not known.record_connect_failure("c", "z", 10.1)
+    assert known.list_suspect_zones() == {"z"}
+    known.record_answer("b", "z", 30.0)
+    assert not known.list_suspect_zones()
 
 
 def test_a_connection_from_before_a_cut_is_not_lent() -> None:
--- a/test/test_dispatcher.py
+++ b/test/test_dispatcher.py
@@ -10,7 +10,7 @@
 from ramptray import runtime, settings
 from ramptray.bundle import acceptance, signature
 from ramptray.core import membership, message
-from ramptray.entry import dispatcher, owners, patience
+from ramptray.entry import dispatcher, owners, timeouts
 from ramptray.entry import ticket as tickets
 from ramptray.peer import attachment
 from ramptray.peer import message as peer_message
@@ -105,9 +105,9 @@
 ) -> None:
     desk.hear(attachment.Down(OURS))
     desk.hear(attachment.Down(OTHER), now=2.0)
-    desk.tick(2.0 + patience.NO_OWNER_S - 0.1)
+    desk.tick(2.0 + timeouts.NO_OWNER_TIMEOUT_S - 0.1)
     assert desk.request_count == 1
-    desk.tick(2.0 + patience.NO_OWNER_S + 0.1)
+    desk.tick(2.0 + timeouts.NO_OWNER_TIMEOUT_S + 0.1)
     assert desk.request_count == 0
 
 
@@ -130,17 +130,17 @@
 
         async def take_soon() -> None:
             await anyio.sleep(0.02)
-            desk.network.take_in_force(in_force)
+            desk.backends.apply_bundle(in_force)
 
         tasks.start_soon(take_soon)
-        assert await desk.network.wait_in_force(5.0) is in_force
+        assert await desk.backends.wait_for_bundle(5.0) is in_force
 
 
 @pytest.mark.anyio
 async def test_a_request_does_not_wait_long_for_the_configuration(
     desk: Desk,
 ) -> None:
-    assert await desk.network.wait_in_force(0.01) is None
+    assert await desk.backends.wait_for_bundle(0.01) is None
 
 
 def test_the_own_scheduler_hears_what_another_owner_has_learned(
@@ -166,11 +166,11 @@
             ),
         },
     )
-    desk.network.take_in_force(
+    desk.backends.apply_bundle(
         acceptance.InForce(bundle, signature.Envelope(text, {}))
     )
     distrusted: list[list[str]] = []
-    desk.network.on_silent_zone = distrusted.append
+    desk.backends.on_unreachable_zone = distrusted.append
     near = membership.Member(
         "waw-a-vm1", "waw-a", OURS, 1, availability_zone="a"
     )
@@ -183,13 +183,13 @@
     desk: Desk,
 ) -> None:
     distrusted = watch_two_zones(desk)
-    assert desk.network.reachable_part == 1.0
+    assert desk.backends.reachable_share == 1.0
     near = membership.Member(
         "waw-a-vm1", "waw-a", OURS, 1, availability_zone="a"
     )
     desk.hear(attachment.Said(OURS, peer_message.View([near], [])))
     assert distrusted == [["10.0.0.2:1"]]
-    assert desk.network.reachable_part == 0.5
+    assert desk.backends.reachable_share == 0.5
 
 
 def test_connections_to_the_zone_of_a_silent_owner_are_distrusted(
@@ -205,7 +205,7 @@
             )
         )
     assert {a for a, _ in desk.get_enqueued()} == {OURS, OTHER}
-    desk.tick(1.0 + owners.ANSWER_S + 0.01)
+    desk.tick(1.0 + owners.MIN_REPLY_TIMEOUT_S + 0.01)
     assert distrusted == [["10.0.0.2:1"]]
 
 
@@ -238,7 +238,7 @@
         wait_s=1.35,
     )
     ticket = desk.submit(info, None)
-    now = ticket.began
+    now = ticket.started_at
     for event in desk._mailbox.take_waiting():
         desk._handle(event, now)
     desk.hear(attachment.Said(OURS, message.Grant("r2", "g", "e", OURS)), now)
@@ -246,8 +246,8 @@
     failed = tickets.AttemptFailed(ended, False, message.Reason.BACKEND_LOST)
     desk._handle(failed, now + 1.6)
     assert desk.request_count == 2
-    desk.tick(now + 1.6 + patience.REFUSAL_GRACE_S / 2)
+    desk.tick(now + 1.6 + timeouts.REFUSAL_GRACE_S / 2)
     assert desk.request_count == 2
     # An owner that says nothing is not waited for.
-    desk.tick(now + 1.6 + patience.REFUSAL_GRACE_S * 2)
+    desk.tick(now + 1.6 + timeouts.REFUSAL_GRACE_S * 2)
     assert desk.request_count == 1
--- a/test/test_evacuation.py
+++ b/test/test_evacuation.py
@@ -10,7 +10,7 @@
 
 from ramptray.bundle import acceptance, model, signature
 from ramptray.core import message
-from ramptray.entry import network
+from ramptray.entry import backend_directory
 from ramptray.platform import config, evacuation, follower, replicas, store
 from ramptray.scheduler import rules
 from test import node, test_node, test_replicas
@@ -50,15 +50,15 @@
 def test_an_entry_declines_what_an_owner_grants_there() -> None:
     book = evacuation.EvacuationBook()
     book.take([order("waw-a")], False, 0.0)
-    known = network.Network()
+    known = backend_directory.BackendDirectory()
     envelope = signature.Envelope("", {})
-    known.take_in_force(acceptance.InForce(make_bundle(book), envelope))
+    known.apply_bundle(acceptance.InForce(make_bundle(book), envelope))
     granted = {
         zone: message.Grant("r", "g", zone, "owner", url="http://127.0.0.1:1")
         for zone in ZONES
     }
-    assert known.pick_url(granted["waw-a"]) is None
-    assert known.pick_url(granted["waw-b"]) is not None
+    assert known.get_granted_url(granted["waw-a"]) is None
+    assert known.get_granted_url(granted["waw-b"]) is not None
 
 
 def test_an_order_that_an_older_copy_lacks_stands_until_written_again() -> None:
--- a/test/test_owners.py
+++ b/test/test_owners.py
@@ -12,12 +12,12 @@
 MANY = 195
 
 
-def make_owners() -> owners.Owners:
-    made = owners.Owners("z", "m0:1")
+def make_owners() -> owners.OwnerSelector:
+    made = owners.OwnerSelector("z", "m0:1")
     members = [
         membership.Member(f"m{n}", "z", f"m{n}:1", 1) for n in range(MANY)
     ]
-    made.take_view(peer_message.View(members, []))
+    made.apply_view(peer_message.View(members, []))
     return made
 
 
@@ -34,32 +34,32 @@
 
     monkeypatch.setattr(membership, "pick_owner", count)
     made = make_owners()
-    found = {made.find(SHARD, float(now)) for now in range(100)}
+    found = {made.find_owner(SHARD, float(now)) for now in range(100)}
     assert len(found) == 1
     assert len(picks) == 1
 
 
 def test_another_owner_is_picked_when_links_or_members_change() -> None:
     made = make_owners()
-    first = made.find(SHARD, 0.0)
+    first = made.find_owner(SHARD, 0.0)
     assert first is not None
-    made.note_down(first)
-    second = made.find(SHARD, 0.0)
+    made.mark_down(first)
+    second = made.find_owner(SHARD, 0.0)
     assert second not in (None, first)
-    made.note_up(first)
-    assert made.find(SHARD, 0.0) == first
+    made.mark_up(first)
+    assert made.find_owner(SHARD, 0.0) == first
     alone = membership.Member("m7", "z", "m7:1", 1)
-    made.take_view(peer_message.View([alone], []))
-    assert made.find(SHARD, 0.0) == "m7:1"
+    made.apply_view(peer_message.View([alone], []))
+    assert made.find_owner(SHARD, 0.0) == "m7:1"
 
 
 def test_a_silent_owner_is_asked_again_after_a_while() -> None:
     made = make_owners()
-    first = made.find(SHARD, 0.0)
+    first = made.find_owner(SHARD, 0.0)
     assert first is not None
-    made.doubt(first, 0.0)
-    assert made.find(SHARD, 0.1) != first
-    assert made.find(SHARD, owners.DOUBT_S + 0.1) == first
+    made.back_off(first, 0.0)
+    assert made.find_owner(SHARD, 0.1) != first
+    assert made.find_owner(SHARD, owners.FIRST_BACKOFF_S + 0.1) == first
 
 
 # Busy and lost.
@@ -68,16 +68,16 @@
 def test_an_owner_that_always_answers_late_is_not_missing_yet() -> None:
     made = make_owners()
     for _ in range(50):
-        made.note_answer("m7:1", 0.3)
-    assert 0.3 < made.get_longest_answer("m7:1") <= owners.MAX_ANSWER_S
+        made.record_reply("m7:1", 0.3)
+    assert 0.3 < made.get_reply_timeout_s("m7:1") <= owners.MAX_REPLY_TIMEOUT_S
 
 
 def test_an_owner_that_answers_quickly_is_missing_soon() -> None:
     made = make_owners()
-    assert made.get_longest_answer("m7:1") == owners.ANSWER_S
+    assert made.get_reply_timeout_s("m7:1") == owners.MIN_REPLY_TIMEOUT_S
     for _ in range(50):
-        made.note_answer("m7:1", 0.005)
-    assert made.get_longest_answer("m7:1") == owners.ANSWER_S
+        made.record_reply("m7:1", 0.005)
+    assert made.get_reply_timeout_s("m7:1") == owners.MIN_REPLY_TIMEOUT_S
 
 
 def test_an_owner_that_turns_busy_is_missing_later_after_a_few_answers() -> (
@@ -85,14 +85,14 @@
 ):
     made = make_owners()
     for _ in range(50):
-        made.note_answer("m7:1", 0.005)
+        made.record_reply("m7:1", 0.005)
     for _ in range(3):
-        made.note_answer("m7:1", 0.2)
-    assert made.get_longest_answer("m7:1") > 0.2
+        made.record_reply("m7:1", 0.2)
+    assert made.get_reply_timeout_s("m7:1") > 0.2
 
 
 def test_however_late_an_owner_answers_it_is_missing_in_the_end() -> None:
     made = make_owners()
     for delay_s in (0.1, 3.0, 0.2, 5.0) * 10:
-        made.note_answer("m7:1", delay_s)
-    assert made.get_longest_answer("m7:1") == owners.MAX_ANSWER_S
+        made.record_reply("m7:1", delay_s)
+    assert made.get_reply_timeout_s("m7:1") == owners.MAX_REPLY_TIMEOUT_S
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -25,7 +25,7 @@
 LEAVING = server_hints.HeadReceived("r0", "s0", 0, is_leaving=True, owner=OURS)
 
 
-class Book(server_hints.HintBook):
+class Book(server_hints.ServerHintStore):
     """A book whose messages are kept instead of sent."""
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
         book.find_unusable_reason("s0", 0, 3.0)
         is server_hints.UnusableReason.LEAVING
     )
-    book.discard_except([], 2.0 + server_hints.FORGET_LEAVING_S)
+    book.discard_except([], 2.0 + server_hints.LEAVING_RETENTION_S)
     assert book.find_unusable_reason("s0", 0, 700.0) is None
     assert book.count_leaving() == 0
 
