--- a/ramptray/core/claim.py
+++ b/ramptray/core/claim.py
@@ -1,8 +1,9 @@
-"""Claims on idempotency keys: who may run a request that must not repeat.
+"""Claims on idempotency keys, which ensure that a request runs at most once.
 
-The order of a log stream decides.  A claim holds its key if the key is free or
-its holder has released it.  A claim of an attempt that was released before is
-void, since its append may have taken effect long after the attempt gave up.
+The order of records in a log stream decides between competing claims.  A claim
+holds its key if the key is free or its holder has released it.  A claim of an
+attempt that was already released is void, since its append may have taken
+effect long after the attempt gave up.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from ramptray.core import message, request
 
 PARTITIONS = 16
-"""Streams over which the keys are spread."""
+"""Number of streams over which the keys are distributed."""
 
 SERVICE = "claims"
-"""Name under which a zone's schedulers share out the partitions."""
+"""Service name of the shards by which schedulers own partitions."""
 
 
 class ClaimStatus(enum.Enum):
-    """What the log says of an attempt."""
+    """Status of an attempt's claim."""
 
     HELD = "held"
     IN_PROGRESS = "in_progress"
@@ -33,7 +34,7 @@
 
 
 class RecordKind(enum.Enum):
-    """What a record of the claim stream says."""
+    """Kind of a record of a claim stream."""
 
     CLAIM = "claim"
     RELEASE = "release"
@@ -41,14 +42,14 @@
 
 
 class ClaimRecord(msgspec.Struct, frozen=True):
-    """One fact in a claim stream.
+    """A record of a claim stream.
 
     Attributes:
-        kind: What is said.
+        kind: The kind.
         key: Digest of customer, service and idempotency key.
-        attempt: The request's id.
-        digest: Digest of the body; empty but for claims.
-        status: Status of the answer; 0 but for done.
+        attempt: Id of the request.
+        digest: Digest of the body; empty for other kinds than claims.
+        status: Status of the response; 0 for other kinds than done.
     """
 
     kind: RecordKind
@@ -67,7 +68,7 @@
 
 
 class ClaimLedger:
-    """The state of a claim stream: a pure function of its records."""
+    """State of a claim stream, a pure function of its records."""
 
     def __init__(self) -> None:
         self._keys: dict[str, _KeyState] = {}
@@ -76,7 +77,7 @@
         return len(self._keys)
 
     def apply(self, record: ClaimRecord) -> None:
-        """Takes the next record of the stream."""
+        """Applies the next record of the stream."""
         state = self._keys.setdefault(record.key, _KeyState())
         match record.kind:
             case RecordKind.CLAIM:
@@ -96,10 +97,10 @@
     def get_claim_status(
         self, key: str, attempt: str, digest: str
     ) -> ClaimStatus | None:
-        """Returns what the records read so far say of an attempt.
+        """Returns the status of an attempt's claim by the records so far.
 
         Returns:
-            None while the attempt's claim has not been read.
+            None if the attempt's claim has not been read yet.
         """
         state = self._keys.get(key)
         if state is None:
@@ -115,7 +116,7 @@
         return ClaimStatus.DONE if state.done else ClaimStatus.IN_PROGRESS
 
     def get_response_status(self, key: str) -> int:
-        """Returns the status of the answer that a key's holder got."""
+        """Returns the status of the response to the key's holder."""
         state = self._keys.get(key)
         return state.status if state else 0
 
@@ -126,14 +127,14 @@
 
 
 def get_partition_shard(zone: str, key: str) -> message.ShardKey:
-    """Returns the shard by which a zone's partition finds its scheduler."""
+    """Returns the shard whose owner handles a key's partition in a zone."""
     return message.ShardKey(zone, SERVICE, get_partition(key))
 
 
-def make_finish(verdict: ClaimStatus) -> request.Finish:
-    """Returns what a caller is told whose attempt may not run.
+def make_finish(status: ClaimStatus) -> request.Finish:
+    """Returns the end of a request whose attempt may not run.
 
-    ``not_run`` is said only where neither this attempt nor another one with
+    The outcome is ``not_run`` only if neither this attempt nor another one with
     the key can have run.
     """
     outcomes = {
@@ -155,5 +156,5 @@
             message.Reason.LOG_UNAVAILABLE,
         ),
     }
-    outcome, reason = outcomes[verdict]
+    outcome, reason = outcomes[status]
     return request.Finish(outcome, reason, retry_after_s=1.0)
--- a/ramptray/core/distribution.py
+++ b/ramptray/core/distribution.py
@@ -1,12 +1,13 @@
-"""Which VMs read the log for the others, and whom each of them follows.
-
-A few VMs read the log; each availability zone has two heads that follow them
-across zones; the others follow VMs of their own zone, a few each.  So calls to
-the log do not grow with the VMs, what crosses zones does not grow with their
-size, and a change passes as many VMs as the logarithm of their number.  VMs
-with good links come first, so that slow ones have nobody behind them.  All VMs
-work this out from their membership alone; where those differ, two VMs read
-more, or somebody follows a VM that is one step further away.
+"""The distribution tree: which VMs read the log, and which VMs others follow.
+
+A few VMs read the log.  In each availability zone two relays follow them across
+zones, and the other VMs follow VMs of their own zone.  So the number of calls
+to the log does not grow with the number of VMs, traffic between zones does not
+grow with the size of the zones, and a change reaches all VMs in a logarithmic
+number of steps.  VMs with fast links come first, so that no VM depends on a
+slow one.  Every VM computes this from its own membership view.  If the views
+differ, too many VMs read the log, or a VM follows one that is a step further
+away.
 """
 
 from __future__ import annotations
@@ -17,34 +18,34 @@
 
 from ramptray.core import membership
 
-READERS = 2
-"""VMs that read the log for all: one of them may be frozen or cut off from it,
-and each costs the log a call a second a stream."""
+LOG_READERS = 2
+"""VMs that read the log for all others: one of them may be suspended or
+disconnected.  Each costs the log one call per second and stream."""
 
 RELAYS_PER_ZONE = 2
-"""VMs of each zone that follow VMs of other zones: one may be lost."""
+"""VMs of each zone that follow VMs of other zones: one may fail."""
 
 FANOUT = 6
-"""VMs of its own zone that follow one VM in the first place.  Worked out for
-five zones: 78, 195 and 414 VMs are told in three steps, and none has more than
-14 followers, the heads of other zones included."""
+"""VMs of the same zone whose primary source is the same VM.  With five zones,
+78, 195 or 414 VMs are reached in three steps, and no VM has more than 14
+followers, including the relays of other zones."""
 
 MAX_SOURCES = 2
-"""VMs that each VM may follow: while the first is frozen or cut off, the other
-is asked."""
+"""Most VMs that a VM follows: if the first is suspended or disconnected, the
+second one serves it."""
 
-READ_KEY = "read"
-"""Key by which VMs that are alike are put in an order."""
+RANKING_KEY = "read"
+"""Hash key for the order of VMs with equal links."""
 
 
 class Position(msgspec.Struct, frozen=True):
-    """A VM's place among those that follow the log.
+    """A VM's position in the distribution tree.
 
     Attributes:
         reads: Whether it reads the log for the others.
-        sources: Addresses of the VMs that it follows, the first one first.
-        turn: When it reads the log itself if nobody tells it anything, counted
-            over the VMs of its zone: all at once would be too much.
+        sources: Addresses of the VMs that it follows, the primary one first.
+        turn: Its rank within the zone.  VMs that receive no updates start to
+            read the log in this order, to avoid a load spike.
     """
 
     reads: bool
@@ -55,35 +56,35 @@
 def find_position(
     me: membership.Member, members: Iterable[membership.Member]
 ) -> Position:
-    """Returns a VM's place.
+    """Returns a VM's position.
 
     Args:
         me: The VM.
-        members: The VMs that are alive, with or without this one.
+        members: The live VMs; may include this one.
     """
     others = {member.vm: member for member in members}
     ordered = _order({**others, me.vm: me}.values())
-    readers = ordered[:READERS]
+    readers = ordered[:LOG_READERS]
     zone = me.availability_zone
-    near = [m for m in ordered if m.availability_zone == zone]
-    turn = near.index(me)
+    same_zone = [m for m in ordered if m.availability_zone == zone]
+    turn = same_zone.index(me)
     if me in readers:
         return Position(True, (), turn)
-    nearest: list[membership.Member] = []
+    parents: list[membership.Member] = []
     if turn >= RELAYS_PER_ZONE:
         parent = (turn - RELAYS_PER_ZONE) // FANOUT
-        nearest = near[parent : parent + 2]
-    sources = dict.fromkeys(m.address for m in [*nearest, *readers])
+        parents = same_zone[parent : parent + 2]
+    sources = dict.fromkeys(m.address for m in [*parents, *readers])
     return Position(False, tuple(sources)[:MAX_SOURCES], turn)
 
 
 def _order(
     members: Iterable[membership.Member],
 ) -> list[membership.Member]:
-    """Returns VMs by their links, and those alike in an order of their own."""
+    """Returns VMs by descending link speed, equal ones by hash."""
     known = list(members)
     ranked = membership.pick_owners(
-        READ_KEY, [member.vm for member in known], len(known)
+        RANKING_KEY, [member.vm for member in known], len(known)
     )
     place = {vm: number for number, vm in enumerate(ranked)}
     return sorted(known, key=lambda m: (-m.link_mbps, place[m.vm]))
--- a/ramptray/core/fleet.py
+++ b/ramptray/core/fleet.py
@@ -148,7 +148,7 @@
             entry: The entry that got the response, to which a pause applies.
             now: The owner's clock in seconds.
         """
-        hints = hints.follow(self._hints.get(hints.backend))
+        hints = hints.merge_previous(self._hints.get(hints.backend))
         self._hints[hints.backend] = hints
         known = self.backends.get(hints.backend)
         if known and known.info.run == hints.run:
--- a/ramptray/core/message.py
+++ b/ramptray/core/message.py
@@ -1,7 +1,7 @@
-"""Typed messages between an entry and a scheduler.
+"""Messages between an entry and a scheduler.
 
-Durations are in seconds and relative to the moment the message is sent, since
-two VMs share no clock.  Sizes are in tokens.
+Durations are in seconds, relative to the time at which the message is sent,
+since VMs share no clock.  Sizes are in tokens.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Outcome(enum.Enum):
-    """What is certain about a request when it ends."""
+    """What is known for certain about a request when it ends."""
 
     COMPLETE = "complete"
     NOT_RUN = "not_run"
@@ -20,7 +20,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request ended without a whole answer (a closed set)."""
+    """Why a request ended without a complete response; a closed set."""
 
     OVERLOADED = "overloaded"
     DEADLINE = "deadline"
@@ -48,51 +48,50 @@
     number: int = 0
 
     def format(self) -> str:
-        """Returns the text form that rendezvous hashing works on."""
+        """Returns the text form used for rendezvous hashing."""
         return f"{self.zone}/{self.service}/{self.number}"
 
     def get_owner_key(self, shares_limits: bool) -> str:
-        """Returns what decides who owns the shard.
+        """Returns the key by which the owner of the shard is chosen.
 
         Args:
-            shares_limits: Whether customers' limits hold over all services
-                together: they then have one owner, who counts for all.
+            shares_limits: Whether customers' limits apply to all services
+                combined, which requires a single owner for all of them.
         """
         return self.zone if shares_limits else self.format()
 
 
 class RequestInfo(msgspec.Struct, frozen=True):
-    """What a scheduler knows of a request; never its body.
+    """What a scheduler knows about a request, which excludes its body.
 
     Attributes:
-        request_id: Unique over all entries.
+        request_id: Unique among all entries.
         shard: The shard the request belongs to.
         customer: The customer's name in the bundle.
         tier: The tier's name in the bundle.
         prompt_tokens: Estimated size of the prompt.
-        output_tokens: Estimated size of the answer.
+        output_tokens: Estimated size of the response.
         prefix: Chained block hashes of the prompt, the longest prefix last.
-        deadline_s: Seconds left until the answer is of no more use.
-        spilled_from: Zones that had no room for the request.
+        deadline_s: Seconds left until the caller no longer needs the response.
+        spilled_from: Zones that had no capacity for the request.
         limit_tokens: What the request counts against its customer's limit;
-            None for its cost in the queue.
+            None for its queue cost.
         repeatable: Whether it may run more than once.
-        max_attempts: Backend servers that it may be sent to.
-        avoid: Backend servers that it was sent to in vain.
-        silent: Backend servers that its entry cannot reach at present.
-        attempt: Backend servers that it was sent to before.
-        objective_s: Seconds left until its answer begins too late; None where
-            there is no such objective.
+        max_attempts: How many backend servers it may be sent to.
+        avoid: Backend servers that it was sent to without success.
+        silent: Backend servers that its entry currently cannot reach.
+        attempt: How many backend servers it was sent to before.
+        objective_s: Seconds left to meet the objective for the first token;
+            None if there is none.
         wait_s: Seconds left that it may wait before it is refused; None for
             until its deadline.
-        max_gap_s: Longest pause between two events of an answer in time, in
-            seconds; None where there is no such limit.
-        event_tokens: Tokens that an event of its answer holds.
-        content: The same for requests of the same customer, path and body;
-            empty where that is not known.
-        prefix_tokens: Tokens that each block of the prefix covers; empty where
-            all cover the usual number.
-        route: The route that it came on; empty where there are none.
+        max_gap_s: Longest pause between two events of a response that meets its
+            objective, in seconds; None if there is no limit.
+        event_tokens: Tokens per event of its response.
+        content: Digest of customer, path and body; empty if unknown.
+        prefix_tokens: Tokens that each block of the prefix covers; empty if
+            all cover the default number.
+        route: The route that it matched; empty if there are none.
         regions: Regions whose backend servers may run it; None for any.
     """
 
@@ -128,13 +127,13 @@
 
 
 class Running(msgspec.Struct, frozen=True):
-    """Entry to a new owner: this request already runs on a backend server.
+    """Entry to new owner: this request already runs on a backend server.
 
     Attributes:
         request: The request.
         backend: The backend server.
-        running_s: For how long, in seconds.
-        output_tokens: Tokens of the answer that have arrived.
+        running_s: For how long it has been running, in seconds.
+        output_tokens: Tokens of the response that have arrived.
         run: The backend server's run, see ``Grant``.
     """
 
@@ -146,7 +145,7 @@
 
 
 class Withdraw(msgspec.Struct, frozen=True):
-    """Entry to owner: forget this request, it no longer waits or runs here."""
+    """Entry to owner: drop this request, it no longer waits or runs here."""
 
     request_id: str
 
@@ -158,9 +157,9 @@
         request_id: The request.
         grant_id: The grant.
         unreachable: Whether the backend server refused the connection.
-        avoid: Backend servers that the request was sent to in vain.
-        silent: Backend servers that the entry cannot reach at present.
-        waits: Whether the request still waits for another grant.
+        avoid: Backend servers that the request was sent to without success.
+        silent: Backend servers that the entry currently cannot reach.
+        waits: Whether the request waits for another grant.
     """
 
     request_id: str
@@ -172,13 +171,13 @@
 
 
 class FirstToken(msgspec.Struct, frozen=True):
-    """Entry to owner: the answer has begun.
+    """Entry to owner: the response has begun.
 
     Attributes:
         request_id: The request.
         elapsed_s: Seconds from the dispatch to the first token.
-        prefilled_tokens: Prompt tokens the engine had to compute; None where it
-            does not say.
+        prefilled_tokens: Prompt tokens the engine had to compute; None if not
+            reported.
         cached_tokens: Prompt tokens found in the engine's prefix cache.
     """
 
@@ -193,17 +192,17 @@
 
     Attributes:
         request_id: The request.
-        output_tokens: Tokens of the answer that arrived.
+        output_tokens: Tokens of the response that arrived.
         decode_s: Seconds from the first event to the last.
         whole: Whether the end marker arrived.
-        certain: Whether the backend server has surely freed its place.
-        broken: Whether the backend server broke off or hung.
-        first_tokens: Tokens that the first event held, which took no time
-            within ``decode_s``.
-        refused: Whether the backend server said that it did not run it.
-        gone: Whether nothing listened at the backend server's address any more
-            as the answer broke off.
-        failed: Whether the backend server answered with a failure of its own.
+        certain: Whether the backend server has certainly freed the slot.
+        broken: Whether the backend server aborted the response or hung.
+        first_tokens: Tokens in the first event, whose time ``decode_s`` does
+            not include.
+        refused: Whether the backend server reported that it did not run it.
+        gone: Whether nothing was listening at the backend server's address any
+            more when the response was aborted.
+        failed: Whether the backend server responded with an error of its own.
     """
 
     request_id: str
@@ -219,18 +218,18 @@
 
 
 class SyncDone(msgspec.Struct, frozen=True):
-    """Entry to owner: everything that waits or runs here has been sent."""
+    """Entry to owner: all waiting and running requests have been sent."""
 
     entry: str
 
 
 class Speed(msgspec.Struct, frozen=True):
-    """How fast a backend server works, as an owner has learned it.
+    """Speed of a backend server as measured by an owner.
 
     Attributes:
-        prefill_rate: Prompt tokens a second.
-        step_s: Seconds between two tokens of an answer.
-        fixed_s: Seconds to a first token besides those for the prompt.
+        prefill_rate: Prompt tokens per second.
+        step_s: Seconds between two tokens of a response.
+        fixed_s: Constant part of the seconds to the first token.
     """
 
     prefill_rate: float
@@ -238,19 +237,20 @@
     fixed_s: float = 0.0
 
     def estimate(self, tokens: float) -> float:
-        """Returns the seconds to the first token of a prompt."""
+        """Returns the estimated seconds to the first token of a prompt."""
         return self.fixed_s + tokens / self.prefill_rate
 
 
 class SpeedLearned(msgspec.Struct, frozen=True):
-    """Entry to the scheduler of its own VM: what another owner has learned.
+    """Entry to the scheduler of its own VM: a speed from another owner.
 
-    That scheduler may own the shard next, and would otherwise learn anew.
+    That scheduler may own the shard next and would otherwise have to measure
+    the speed again.
 
     Attributes:
         backend: The backend server.
-        speed: How fast it works.
-        run: In which of its runs, see ``Grant``; a later run may differ.
+        speed: Its speed.
+        run: The run it was measured in, see ``Grant``; later runs may differ.
     """
 
     backend: str
@@ -259,15 +259,15 @@
 
 
 class ServerHints(msgspec.Struct, frozen=True):
-    """Entry to schedulers: what a backend server says of itself in answers.
+    """Entry to schedulers: hints from the responses of a backend server.
 
     Attributes:
         backend: The backend server.
-        run: In which of its runs, see ``Grant``; hints end with their run.
-        limit_per_s: Requests a second that it accepts from all VMs together;
-            None where it names no limit.
+        run: The run they are from, see ``Grant``; hints expire with their run.
+        limit_per_s: Requests per second that it accepts from all VMs together;
+            None if it reports no limit.
         is_leaving: Whether it is leaving; final for the run.
-        pause_s: Seconds for which it wants nothing from the entry's VM.
+        pause_s: Seconds for which it asks the entry's VM to send nothing.
     """
 
     backend: str
@@ -276,11 +276,11 @@
     is_leaving: bool = False
     pause_s: float = 0.0
 
-    def follow(self, former: ServerHints | None) -> ServerHints:
-        """Returns these hints with what stays of the former ones."""
-        if former is None or former.run != self.run:
+    def merge_previous(self, previous: ServerHints | None) -> ServerHints:
+        """Returns these hints merged with the previous ones."""
+        if previous is None or previous.run != self.run:
             return self
-        is_leaving = self.is_leaving or former.is_leaving
+        is_leaving = self.is_leaving or previous.is_leaving
         return msgspec.structs.replace(self, is_leaving=is_leaving)
 
 
@@ -289,18 +289,17 @@
 
     Attributes:
         request_id: The request.
-        grant_id: Tells apart the grants of one owner.
+        grant_id: Distinguishes the grants of one owner.
         backend: Name of the backend server.
-        owner: Address of the scheduler that grants.
-        version: The model version to ask for; empty for none.
-        url: Where the backend server listens, for an entry that does not know
-            it; empty where it is in the bundle.
-        speed: How fast it works; None where that is not learned yet.
-        run: Which run of the backend server is meant: a larger number is a
-            later one, which knows nothing of those before; 0 where that is not
-            known.
+        owner: Address of the granting scheduler.
+        version: The model version to request; empty for none.
+        url: URL of the backend server, for an entry that does not know it;
+            empty if it is in the bundle.
+        speed: Its speed; None if it was not measured yet.
+        run: Run of the backend server.  A larger number is a later run, which
+            has no state of earlier ones; 0 if unknown.
         limit_per_s: The request limit of the backend server that the owner
-            applied; None where it knows of none.
+            applied; None if it knows none.
     """
 
     request_id: str
@@ -315,7 +314,7 @@
 
 
 class Reject(msgspec.Struct, frozen=True):
-    """Owner to entry: this request is given up; answer the caller now."""
+    """Owner to entry: this request is rejected; respond to the caller now."""
 
     request_id: str
     reason: Reason
@@ -323,11 +322,11 @@
 
 
 class Redirect(msgspec.Struct, frozen=True):
-    """Owner to entry: no room here; ask the owner in another zone.
+    """Owner to entry: no capacity here; ask the owner in another zone.
 
     Attributes:
         request_id: The request.
-        zone: The zone that has room.
+        zone: The zone that has capacity.
         owner: Address of the scheduler that owns the shard there.
     """
 
@@ -343,7 +342,7 @@
 
 
 class StillWaiting(msgspec.Struct, frozen=True):
-    """Owner to entry: the owner is alive, and requests of yours wait here."""
+    """Owner to entry: the owner is alive and your requests wait here."""
 
     count: int
 
--- a/ramptray/scheduler/observations.py
+++ b/ramptray/scheduler/observations.py
@@ -36,7 +36,7 @@
             now: The scheduler's clock in seconds.
         """
         previous = self._hints.get(hints.backend)
-        hints = hints.follow(previous)
+        hints = hints.merge_previous(previous)
         if hints.pause_s > 0.0:
             pause = (hints.run, now + hints.pause_s)
             self._pauses[origin, hints.backend] = pause
--- a/test/test_distribution.py
+++ b/test/test_distribution.py
@@ -1,4 +1,4 @@
-"""Who reads the log for the others, and whom each VM follows."""
+"""Tests which VMs read the log and which VMs the others follow."""
 
 from __future__ import annotations
 
@@ -23,67 +23,72 @@
     ]
 
 
-def find_places(
+def find_positions(
     members: list[membership.Member],
 ) -> dict[str, distribution.Position]:
     return {m.address: distribution.find_position(m, members) for m in members}
 
 
-def test_a_vm_alone_reads() -> None:
+def test_single_vm_reads_the_log() -> None:
     (alone,) = make_members(1)
     assert distribution.find_position(alone, []).reads
 
 
 @pytest.mark.parametrize("count", [2, 6, 78, 195, 414])
-def test_a_few_vms_read_and_all_hear_within_a_few_steps(count: int) -> None:
-    places = find_places(make_members(count, zones=5))
-    readers = {a for a, place in places.items() if place.reads}
-    assert len(readers) == min(count, distribution.READERS)
-    heard, steps = set(readers), 0
-    while len(heard) < count:
-        nearer = {a for a, p in places.items() if set(p.sources) & heard}
-        assert nearer - heard, "somebody follows nobody who hears"
-        heard |= nearer
+def test_few_vms_read_and_all_are_reached_in_few_steps(count: int) -> None:
+    positions = find_positions(make_members(count, zones=5))
+    readers = {a for a, position in positions.items() if position.reads}
+    assert len(readers) == min(count, distribution.LOG_READERS)
+    informed, steps = set(readers), 0
+    while len(informed) < count:
+        next_informed = {
+            a for a, p in positions.items() if set(p.sources) & informed
+        }
+        assert next_informed - informed, "a VM has no informed source"
+        informed |= next_informed
         steps += 1
     assert steps <= 1 + math.log(max(2, count / 5), distribution.FANOUT) + 1
 
 
-def test_no_vm_has_many_behind_it() -> None:
-    places = find_places(make_members(414, zones=5))
-    followers = dict.fromkeys(places, 0)
-    for place in places.values():
-        for source in place.sources:
+def test_number_of_followers_is_bounded() -> None:
+    positions = find_positions(make_members(414, zones=5))
+    followers = dict.fromkeys(positions, 0)
+    for position in positions.values():
+        for source in position.sources:
             followers[source] += 1
-    # Readers have the heads of all zones and followers of their own zone.
+    # Readers are followed by the relays of all zones and by VMs of their own
+    # zone.
     assert (
         max(followers.values())
         <= 3 * distribution.FANOUT + 5 * distribution.RELAYS_PER_ZONE
     )
 
 
-def test_slow_vms_have_nobody_behind_them_while_there_are_others() -> None:
+def test_slow_vms_have_no_followers_if_there_are_faster_ones() -> None:
     members = make_members(78)
     slow = {m.address for m in members if m.link_mbps < 100}
     followed = {
         source
-        for place in find_places(members).values()
-        for source in place.sources
+        for position in find_positions(members).values()
+        for source in position.sources
     }
     assert not followed & slow
 
 
-def test_few_follow_across_zones() -> None:
+def test_few_vms_follow_across_zones() -> None:
     members = make_members(195, zones=5)
     zones = {m.address: m.availability_zone for m in members}
     crossing = [
         address
-        for address, place in find_places(members).items()
-        if {zones[source] for source in place.sources} - {zones[address]}
+        for address, position in find_positions(members).items()
+        if {zones[source] for source in position.sources} - {zones[address]}
     ]
     assert len(crossing) <= 5 * distribution.RELAYS_PER_ZONE
 
 
-def test_turns_are_taken_one_after_the_other() -> None:
+def test_turns_are_consecutive() -> None:
     members = make_members(30, zones=1)
-    turns = sorted(place.turn for place in find_places(members).values())
+    turns = sorted(
+        position.turn for position in find_positions(members).values()
+    )
     assert turns == list(range(30))
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under loss, death, pauses and refutation; ownership."""
+"""Tests membership under packet loss and failures, and shard ownership."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Zone:
-    """Members that probe one another in rounds, over lossy links."""
+    """Simulates members that probe one another in rounds over lossy links."""
 
     def __init__(self, seed: int, loss: float, count: int = COUNT) -> None:
         self.rng = random.Random(seed)
@@ -58,7 +58,7 @@
         self.exchange(vm, target.vm)
 
     def exchange(self, vm: str, other_vm: str) -> None:
-        """Has one member ask another that answers."""
+        """Exchanges updates between two members."""
         view, other = self.views[vm], self.views[other_vm]
         wanted_after = view.wanted_after
         other.merge([view.me, *view.pick_updates()], self.now)
@@ -74,9 +74,7 @@
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(seed=st.integers(0, 10_000), dead=st.sets(st.integers(0, 8), max_size=4))
-def test_all_agree_on_who_is_alive_after_deaths(
-    seed: int, dead: set[int]
-) -> None:
+def test_views_converge_after_failures(seed: int, dead: set[int]) -> None:
     zone = Zone(seed, loss=0.0)
     zone.run(20)
     assert all(zone.get_alive(vm) == zone.up for vm in zone.up)
@@ -87,7 +85,7 @@
 
 @settings(max_examples=15, deadline=None, derandomize=True)
 @given(seed=st.integers(0, 10_000))
-def test_lost_probes_do_not_bury_the_living_for_good(seed: int) -> None:
+def test_members_recover_after_lost_probes(seed: int) -> None:
     zone = Zone(seed, loss=0.15)
     zone.run(60)
     zone.loss = 0.0
@@ -95,7 +93,7 @@
     assert all(zone.get_alive(vm) == zone.up for vm in zone.up)
 
 
-def test_a_member_that_stood_still_comes_back() -> None:
+def test_suspended_member_rejoins() -> None:
     zone = Zone(1, loss=0.0)
     zone.run(20)
     zone.up.discard("vm3")
@@ -106,14 +104,14 @@
     assert all(zone.get_alive(vm) == zone.up for vm in zone.up)
 
 
-def test_a_restarted_member_overrides_its_former_life() -> None:
+def test_restarted_member_replaces_its_old_record() -> None:
     zone = Zone(2, loss=0.0)
     zone.run(10)
-    reborn = msgspec.structs.replace(
+    restarted = msgspec.structs.replace(
         zone.views["vm4"].me, incarnation=9, address="10.9.9.9:1"
     )
     zone.views["vm4"] = membership.Membership(
-        reborn, random.Random(5), zone.now
+        restarted, random.Random(5), zone.now
     )
     zone.views["vm4"].merge([zone.views["vm0"].me], zone.now)
     zone.run(20)
@@ -121,7 +119,7 @@
     assert seen["vm4"] == "10.9.9.9:1"
 
 
-def test_a_member_that_leaves_is_not_probed_or_chosen() -> None:
+def test_member_that_left_is_removed_from_all_views() -> None:
     zone = Zone(3, loss=0.0)
     zone.run(15)
     zone.views["vm5"].leave(zone.now)
@@ -136,7 +134,7 @@
     keys=st.lists(st.text(), min_size=1, max_size=50),
 )
 @settings(derandomize=True, deadline=None)
-def test_when_an_owner_goes_only_its_keys_move(
+def test_only_keys_of_a_removed_owner_move(
     names: set[str], keys: list[str]
 ) -> None:
     before = {k: membership.pick_owner(k, sorted(names)) for k in keys}
@@ -145,7 +143,7 @@
     assert all(after[k] == before[k] for k in keys if before[k] != gone)
 
 
-def test_a_side_with_half_of_the_members_or_less_is_a_minority() -> None:
+def test_half_of_the_members_or_fewer_is_a_minority() -> None:
     me = membership.Member("a", "z", "a:1", 1)
     mine = membership.Membership(me, random.Random(1), 0.0)
     others = [membership.Member(n, "z", f"{n}:1", 1) for n in "bcd"]
@@ -160,19 +158,19 @@
     assert mine.is_minority()
 
 
-def test_only_strong_vms_own_shards() -> None:
+def test_only_vms_with_enough_cores_own_shards() -> None:
     sizes = {"a": 0.5, "b": 2.0, "c": 2.15, "d": 1.0}
     members = [
         membership.Member(vm, "z", f"{vm}:1", 1, cores=cores)
         for vm, cores in sizes.items()
     ]
     assert [m.vm for m in membership.list_strongest(members)] == ["b", "c"]
-    untold = [membership.Member(vm, "z", f"{vm}:1", 1) for vm in sizes]
-    assert membership.list_strongest(untold) == untold
+    unknown = [membership.Member(vm, "z", f"{vm}:1", 1) for vm in sizes]
+    assert membership.list_strongest(unknown) == unknown
 
 
-def make_settled() -> Zone:
-    """Returns many members that have known each other for long."""
+def make_settled_zone() -> Zone:
+    """Returns a large zone whose members all know each other."""
     zone = Zone(3, loss=0.0, count=MANY)
     everyone = [view.me for view in zone.views.values()]
     for view in zone.views.values():
@@ -181,8 +179,8 @@
     return zone
 
 
-def test_many_members_probe_as_few_as_the_logarithm_of_their_number() -> None:
-    zone = make_settled()
+def test_number_of_probe_targets_is_logarithmic() -> None:
+    zone = make_settled_zone()
     assert max(map(len, zone.probed.values())) <= MANY.bit_length()
     probing = collections.Counter(
         target for targets in zone.probed.values() for target in targets
@@ -190,14 +188,14 @@
     assert max(probing.values()) <= MANY.bit_length()
 
 
-def test_a_member_that_restarts_among_many_soon_knows_all() -> None:
-    # It was told changes only, and of many that are settled there are few: it
-    # knew 36 to 52 of 195 after ten probes and 117 to 122 after forty (three
-    # seeds), and chose owners among these.
-    zone = make_settled()
-    reborn = msgspec.structs.replace(zone.views["vm4"].me, incarnation=9)
+def test_restarted_member_discovers_all_members() -> None:
+    # When a restarted member received recent updates only, of which a settled
+    # zone has few, it knew 36 to 52 of 195 members after 10 probes and 117 to
+    # 122 after 40 (three seeds), and assigned shards among these only.
+    zone = make_settled_zone()
+    restarted = msgspec.structs.replace(zone.views["vm4"].me, incarnation=9)
     zone.views["vm4"] = membership.Membership(
-        reborn, random.Random(5), zone.now
+        restarted, random.Random(5), zone.now
     )
     zone.views["vm4"].merge([zone.views["vm0"].me], zone.now)
     for _ in range(10):
@@ -205,15 +203,15 @@
     assert zone.get_alive("vm4") == zone.up
 
 
-def test_all_of_many_agree_after_a_fifth_has_gone() -> None:
-    zone = make_settled()
+def test_large_zone_converges_after_a_fifth_fails() -> None:
+    zone = make_settled_zone()
     zone.up -= {f"vm{n}" for n in range(0, MANY, 5)}
     zone.run(30)
     assert all(zone.get_alive(vm) == zone.up for vm in zone.up)
 
 
-def test_halves_of_many_that_could_not_reach_each_other_meet_again() -> None:
-    zone = make_settled()
+def test_partitioned_halves_of_a_large_zone_merge_again() -> None:
+    zone = make_settled_zone()
     half = {f"vm{n}" for n in range(0, MANY, 2)}
     others = zone.up - half
     for side in (half, others):
@@ -222,14 +220,14 @@
     zone.up = half | others
     assert not zone.get_alive(min(half)) & others
     for _ in range(20):
-        # A seed that counts as dead is still asked.
+        # Seeds are contacted even if they are considered dead.
         zone.exchange(min(half), min(others))
         zone.run(3)
     assert all(zone.get_alive(vm) == zone.up for vm in zone.up)
 
 
-def count_told(spreads_generations: bool) -> int:
-    """Returns how many changes a settled member tells after new bundles."""
+def count_sent_updates(spreads_generations: bool) -> int:
+    """Returns how many updates a settled member sends after a new bundle."""
     mine = membership.Member("a", ZONE, "a:1", 1)
     view = membership.Membership(
         mine, random.Random(1), 0.0, spreads_generations
@@ -242,14 +240,14 @@
     newer = [msgspec.structs.replace(other, generation=2) for other in others]
     view.merge(newer, 1.0)
     assert all(member.generation == 2 for member in view.list_alive())
-    told = 0
+    sent = 0
     while updates := view.pick_updates():
-        told += len(updates)
-    return told
+        sent += len(updates)
+    return sent
 
 
-def test_generations_are_spread_only_where_somebody_acts_on_them() -> None:
-    # A change of the bundle was a change of each of 60 members, and each of
-    # them told others of all 60 eighteen times.
-    assert count_told(spreads_generations=True) == 61 * 18
-    assert count_told(spreads_generations=False) == 0
+def test_generations_spread_only_if_enabled() -> None:
+    # If generations spread, a new bundle changes the records of all members,
+    # and each member sends each of these updates 18 times.
+    assert count_sent_updates(spreads_generations=True) == 61 * 18
+    assert count_sent_updates(spreads_generations=False) == 0
