--- a/ramptray/core/limit.py
+++ b/ramptray/core/limit.py
@@ -369,7 +369,7 @@
                 ("requests", rate.requests_per_s),
                 ("tokens", rate.tokens_per_s),
             ]
-            made = [
+            buckets = [
                 (
                     kind,
                     _TokenBucket(
@@ -379,13 +379,13 @@
                 for kind, per_s in kinds
                 if per_s is not None
             ]
-            if not made:
+            if not buckets:
                 return []
             former = dict(self._former_buckets.pop(customer, []))
-            for kind, bucket in made:
+            for kind, bucket in buckets:
                 if kind in former:
                     bucket.inherit(former[kind])
-            self._buckets[customer] = made
+            self._buckets[customer] = buckets
         return self._buckets[customer]
 
 
--- a/ramptray/core/release.py
+++ b/ramptray/core/release.py
@@ -47,14 +47,14 @@
             return
         new: list[backends.Backend] = []
         old: list[backends.Backend] = []
-        for known in self._fleet.list_all():
-            (new if self._is_new(known) else old).append(known)
-        places = rollout.Capacity(
-            _count_places(new),
-            _count_places(old),
-            sum(len(known.placed) for known in old),
+        for server in self._fleet.list_all():
+            (new if self._is_new(server) else old).append(server)
+        capacity = rollout.Capacity(
+            _count_slots(new),
+            _count_slots(old),
+            sum(len(server.placed) for server in old),
         )
-        self.rollout.advance(places, now)
+        self.rollout.advance(capacity, now)
 
     def filter_allowed(
         self, candidates: list[backends.Backend]
@@ -108,11 +108,11 @@
             )
         )
 
-    def _is_new(self, known: backends.Backend) -> bool:
+    def _is_new(self, server: backends.Backend) -> bool:
         assert self.rollout is not None
-        return known.info.release == self.rollout.order.release
+        return server.info.release == self.rollout.order.release
 
 
-def _count_places(servers: list[backends.Backend]) -> int:
+def _count_slots(servers: list[backends.Backend]) -> int:
     """Returns the number of slots of the servers that are not lost."""
     return sum(b.info.max_running for b in servers if not b.is_lost)
--- a/ramptray/core/remote_shards.py
+++ b/ramptray/core/remote_shards.py
@@ -20,7 +20,7 @@
 
     def set_summaries(self, summaries: Iterable[summary.ShardSummary]) -> None:
         """Replaces the summaries with the newest one of each zone."""
-        self._summaries = {found.shard.zone: found for found in summaries}
+        self._summaries = {remote.shard.zone: remote for remote in summaries}
 
     def has_room(self, waiting: queue.QueuedRequest) -> bool:
         """Returns whether some zone would accept a request."""
@@ -33,15 +33,16 @@
         """
         with_room = self._list_with_room(waiting)
         return min(
-            with_room, key=lambda found: sum(found.waiting), default=None
+            with_room, key=lambda remote: sum(remote.waiting), default=None
         )
 
     def _list_with_room(
         self, waiting: queue.QueuedRequest
     ) -> list[summary.ShardSummary]:
-        tried = (*waiting.request.spilled_from, self._zone)
+        excluded = (*waiting.request.spilled_from, self._zone)
         return [
-            found
-            for zone, found in self._summaries.items()
-            if zone not in tried and found.has_room(waiting.rank, waiting.cost)
+            remote
+            for zone, remote in self._summaries.items()
+            if zone not in excluded
+            and remote.has_room(waiting.rank, waiting.cost)
         ]
--- a/ramptray/core/shard.py
+++ b/ramptray/core/shard.py
@@ -132,7 +132,7 @@
     ) -> None:
         """Replaces the summaries of the same shard in other zones."""
         self._remote.set_summaries(summaries)
-        self._limits.borrow(found.uses for found in summaries)
+        self._limits.borrow(remote.uses for remote in summaries)
 
     def summarize(self, now: float, version: int) -> summary.ShardSummary:
         """Returns the summary of this shard for other zones.
@@ -294,8 +294,8 @@
             placed.orphaned_at = None
             self._syncing.get(entry, set()).discard(request_id)
             return
-        began = now - running.running_s
-        self.fleet.place(running.request, backend, entry, "", began)
+        began_at = now - running.running_s
+        self.fleet.place(running.request, backend, entry, "", began_at)
 
     def _handle_decline(
         self, entry: str, decline: message.Decline, now: float
@@ -306,8 +306,8 @@
         if backend is None:
             return []
         # A request that an entry reported as running has no grant ID here.
-        known = backend.placed[request_id].grant_id
-        if known not in ("", decline.grant_id):
+        own_grant_id = backend.placed[request_id].grant_id
+        if own_grant_id not in ("", decline.grant_id):
             return []
         placed = self.fleet.free(request_id)
         self.counters.declined += 1
--- a/ramptray/core/shedding.py
+++ b/ramptray/core/shedding.py
@@ -112,16 +112,16 @@
         self, content: str, left_s: float
     ) -> list[owner_effect.SendToEntry]:
         """Refuses the queued requests with a newly blocked content."""
-        found = [
+        blocked = [
             waiting
             for waiting in self._queue.list_all()
             if waiting.request.content == content
         ]
-        for waiting in found:
+        for waiting in blocked:
             self._queue.remove(waiting)
         return [
             self._make_reject(waiting, message.Reason.BLOCKED, left_s)
-            for waiting in found
+            for waiting in blocked
         ]
 
     def refuse_expired(self, now: float) -> list[owner_effect.SendToEntry]:
@@ -255,16 +255,16 @@
             )
         if not self._fleet.has_usable:
             reason = message.Reason.NO_BACKEND
-        least_s = MIN_RETRY_AFTER_S
+        min_wait_s = MIN_RETRY_AFTER_S
         if reason is message.Reason.NO_BACKEND:
-            least_s = UNREACHABLE_RETRY_AFTER_S
+            min_wait_s = UNREACHABLE_RETRY_AFTER_S
         self._wait_estimator.count_refusal(waiting, now)
         # During a pause of all entries, the queue is served after its end.
         pause_s = self._fleet.eligibility.get_shortest_pause(
             len(self._entries), now
         )
         wait_s = max(
-            least_s,
+            min_wait_s,
             pause_s + self._wait_estimator.estimate_wait(waiting, now),
             pause_s + self._wait_estimator.estimate_retry_after(waiting, now),
         )
@@ -285,11 +285,11 @@
         )
 
     def _make_inputs(self) -> owner_effect.DecisionInputs:
-        open_ones = [b for b in self._fleet.list_all() if not b.is_lost]
+        usable = [b for b in self._fleet.list_all() if not b.is_lost]
         return owner_effect.DecisionInputs(
             len(self._queue),
-            sum(len(known.placed) for known in open_ones),
-            sum(known.info.max_running for known in open_ones),
+            sum(len(server.placed) for server in usable),
+            sum(server.info.max_running for server in usable),
         )
 
     def _count_shed(self, tier: str, now: float) -> None:
--- a/test/test_regions.py
+++ b/test/test_regions.py
@@ -17,10 +17,10 @@
 KEY = message.ShardKey("all", "assistant")
 
 
-def make_owner(places: int = 1) -> shard.ShardOwner:
+def make_owner(slots: int = 1) -> shard.ShardOwner:
     """Returns an owner of one server in each region."""
     infos = [
-        backend.BackendInfo(region, places, 10**6, 16, region=region)
+        backend.BackendInfo(region, slots, 10**6, 16, region=region)
         for region in REGIONS.values()
     ]
     owner = shard.ShardOwner(
--- a/test/test_replay.py
+++ b/test/test_replay.py
@@ -100,11 +100,11 @@
 ) -> None:
     path = tmp_path / "mine.json5"
     path.write_text('{"base": "calm", "says": "x", "length_s": -1}')
-    for words, told in (
+    for arguments, message in (
         (["--variant", "policy.NO=1"], "no constant policy.NO"),
         (["--pattern", "nosuch"], "nosuch.json5"),
         (["--pattern", str(path)], "length_s"),
     ):
-        result = CliRunner().invoke(main.run, ["replay", *words])
+        result = CliRunner().invoke(main.run, ["replay", *arguments])
         assert result.exit_code == 1
-        assert told in result.output
+        assert message in result.output
--- a/test/test_shard.py
+++ b/test/test_shard.py
@@ -183,17 +183,17 @@
 
     @invariant()
     def check_accounting(self) -> None:
-        for known in self.owner.fleet.backends.values():
-            pending = known.pending.values()
-            assert known.prefill_tokens == sum(p.uncached for p in pending)
-            assert known.held_tokens == sum(
-                p.tokens for p in known.placed.values()
+        for server in self.owner.fleet.backends.values():
+            pending = server.pending.values()
+            assert server.prefill_tokens == sum(p.uncached for p in pending)
+            assert server.held_tokens == sum(
+                p.tokens for p in server.placed.values()
             )
-            assert len(known.placed) <= known.info.max_running
+            assert len(server.placed) <= server.info.max_running
         placed = {
             name
-            for known in self.owner.fleet.backends.values()
-            for name in known.placed
+            for server in self.owner.fleet.backends.values()
+            for name in server.placed
         }
         assert placed == set(self.granted)
         assert self.owner.waiting_count == len(self.waiting)
--- a/test/test_waiting.py
+++ b/test/test_waiting.py
@@ -158,8 +158,8 @@
 
 def test_waiting_for_another_prompt_does_not_count_as_slowness() -> None:
     owner = make_owner(fast=FAST)
-    known = owner.fleet.backends["fast"]
-    before = known.speed.factor
+    engine = owner.fleet.backends["fast"]
+    before = engine.speed.factor
     first, second = (
         msgspec.structs.replace(LONG, request_id=name, prompt_tokens=10_000)
         for name in ("a", "b")
@@ -167,12 +167,12 @@
     assert send(owner, first, 1.0) == send(owner, second, 1.0) == ["fast"]
     owner.receive("entry", message.FirstToken("a", 0.13, 10_000, 0), 1.13)
     owner.receive("entry", message.FirstToken("b", 0.23, 10_000, 0), 1.23)
-    assert known.speed.factor == pytest.approx(before, rel=0.05)
+    assert engine.speed.factor == pytest.approx(before, rel=0.05)
 
 
 def test_an_engine_that_became_slow_is_detected_after_two_responses() -> None:
     owner = make_owner(fast=FAST)
-    known = owner.fleet.backends["fast"]
+    engine = owner.fleet.backends["fast"]
     for number in range(2):
         now = 1.0 + number
         info = msgspec.structs.replace(SHORT, request_id=f"r{number}")
@@ -181,14 +181,14 @@
         owner.receive("entry", first, now + 0.2)
         ended = message.Ended(f"r{number}", 20, 0.3, True)
         owner.receive("entry", ended, now + 0.5)
-    assert known.estimate_alone(300) > 0.1
+    assert engine.estimate_alone(300) > 0.1
 
 
 def test_a_fixed_latency_is_not_mistaken_for_prefill_speed() -> None:
     # The estimated prefill speed of one engine varied between 2,000 and 988,000
     # tokens a second within a day, as prompts differed in size (cmp-flotta).
     owner = make_owner(fast=FAST)
-    known = owner.fleet.backends["fast"]
+    engine = owner.fleet.backends["fast"]
     for number in range(40):
         now = 1.0 + number
         tokens = (100, 700, 3000)[number % 3]
@@ -202,7 +202,7 @@
         ended = message.Ended(info.request_id, 20, 0.06, True)
         owner.receive("entry", ended, now + 0.5)
     expected_s = 0.04 + 20_000 / 70_000
-    assert known.estimate_alone(20_000) == pytest.approx(expected_s, rel=0.1)
+    assert engine.estimate_alone(20_000) == pytest.approx(expected_s, rel=0.1)
 
 
 def test_requests_of_a_lost_vm_do_not_make_an_engine_seem_slow() -> None:
@@ -218,12 +218,12 @@
 
 def test_a_first_token_shows_that_earlier_prompts_were_processed() -> None:
     owner = make_owner(fast=FAST)
-    known = owner.fleet.backends["fast"]
+    engine = owner.fleet.backends["fast"]
     owner.receive("lost", message.Enqueue(SHORT), 1.0)
     again = msgspec.structs.replace(SHORT, request_id="again")
     assert send(owner, again, 1.1) == ["fast"]
     owner.receive("entry", message.FirstToken("again", 0.04, 300, 0), 1.14)
-    assert known.get_slowdown(2.0) == 1.0
+    assert engine.get_slowdown(2.0) == 1.0
 
 
 def test_late_requests_are_refused_early_while_others_are_in_time() -> None:
