--- a/test/poison_load.py
+++ b/test/poison_load.py
@@ -1,4 +1,4 @@
-"""A request that ends what runs it: its replicas, its tries, its judgement."""
+"""Sends a poison request repeatedly and checks that it is blocked in time."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 BODY = b'{"prompt": "ends what runs it"}'
 
 LATE_TRIES = 3
-"""Tries that may reach replicas once each VM must know."""
+"""Tries that may still reach replicas after all VMs must block the content."""
 
-KNOWN_S = 1.0
-"""Within this time, in seconds, of the third replica's end each VM knows: half
-of the shortest time that a deployment allows for it."""
+DETECTION_LIMIT_S = 1.0
+"""Time after the third crash within which all VMs must block the content, in
+seconds: half of the shortest time that a deployment allows."""
 
 PAUSE_S = 0.25
 """Pause between two tries, in seconds."""
 
-BACK_S = 0.3
-"""After how long a replica that has ended starts again, in seconds."""
+RESTART_DELAY_S = 0.3
+"""Delay before a crashed replica is restarted, in seconds."""
 
 BLOCKED = b"blocked_content"
 
 
 class Supervisor:
-    """Starts replicas again that have ended, a moment later."""
+    """Restarts crashed replicas after a short delay."""
 
     def __init__(self, started: node.Platform) -> None:
         self._started = started
@@ -48,10 +48,10 @@
         self._thread.join()
 
     def get_known_at(self) -> float:
-        """Returns from when on VMs must know; infinity for not yet."""
+        """Returns when all VMs must block the content; infinity if unknown."""
         if len(self.ended_at) < 3:
             return float("inf")
-        return self.ended_at[2] + KNOWN_S
+        return self.ended_at[2] + DETECTION_LIMIT_S
 
     def _run(self) -> None:
         while not self._over.wait(0.02):
@@ -59,14 +59,14 @@
                 if self._started.processes[name].poll() is None:
                     continue
                 self.ended_at.append(time.monotonic())
-                self._over.wait(BACK_S)
+                self._over.wait(RESTART_DELAY_S)
                 self._started.restart_replica(name)
                 born = int(time.time() * 1000)
                 self._started.write_record(name, born=born)
 
 
-class Tries:
-    """The tries of such a request, from one VM to the next."""
+class TrySender:
+    """Sends a poison request repeatedly, to one VM after the other."""
 
     def __init__(self, started: node.Platform, vms: Iterable[str]) -> None:
         self._started = started
@@ -74,7 +74,7 @@
         self.sent: dict[str, float] = {}
 
     def run(self, is_over: Callable[[], bool]) -> None:
-        """Sends tries until it is over; VMs may be down meanwhile."""
+        """Sends tries until ``is_over`` is true; VMs may be down meanwhile."""
         paths = itertools.cycle(("/safe/", "/once/", "/stream/"))
         for number in itertools.count():
             if is_over():
@@ -96,31 +96,31 @@
         try:
             node.call(front, "POST", path, BODY, headers)
         except (OSError, http.client.HTTPException):
-            # The VM is down, or its connection was cut: the next one is tried.
+            # The VM is down or the connection broke; the next try uses another.
             return
 
 
-def judge_tries(
-    tries: Tries,
+def check_tries(
+    tries: TrySender,
     supervisor: Supervisor,
     ran: set[str],
     is_calm: Callable[[float], bool],
 ) -> promise.Promise:
-    """Returns whether the request was sent no more once VMs had to know.
+    """Checks that replicas stopped receiving the request in time.
 
-    Each path is a content of its own.
+    Each path is a separate content.
 
     Args:
-        tries: The tries.
-        supervisor: Who saw replicas end.
-        ran: Ids of what replicas ran.
-        is_calm: Returns whether all VMs were in touch at a moment.
+        tries: The sent tries.
+        supervisor: Records the times of crashes.
+        ran: Ids of the requests that replicas ran.
+        is_calm: Returns whether all VMs were connected at a given time.
     """
     kept = promise.Promise("what ends what runs it is soon sent no more")
-    # Three contents, each of which may end three replicas first.
+    # Three contents, each of which may crash three replicas first.
     if len(supervisor.ended_at) < 9:
         return kept
-    known_at = supervisor.ended_at[8] + KNOWN_S
+    known_at = supervisor.ended_at[8] + DETECTION_LIMIT_S
     late = [
         name for name, at in tries.sent.items() if at > known_at and is_calm(at)
     ]
--- a/test/soak.py
+++ b/test/soak.py
@@ -84,7 +84,7 @@
         self.record = verdict.Record()
         self._stores: dict[str, proxy.Proxy] = {}
         self._proxies: dict[str, proxy.Proxy] = {}
-        self._tries = poison_load.Tries(started, self._names)
+        self._tries = poison_load.TrySender(started, self._names)
         self._start()
         self._harm = harm.Harm(
             started,
@@ -289,7 +289,7 @@
         innocent = promise.Promise("nothing else is blocked")
         for ask in self.record.asks:
             innocent.judge(poison_load.BLOCKED not in ask.body, f"{ask}")
-        tries = poison_load.judge_tries(
+        tries = poison_load.check_tries(
             self._tries, self._supervisor, ran, judge.is_calm
         )
         return [tries, innocent]
--- a/test/test_claims.py
+++ b/test/test_claims.py
@@ -1,4 +1,4 @@
-"""The desk that claims keys on the log, when the log or the desk is slow."""
+"""Tests the claim manager when the log is slow or loses responses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ramptray.scheduler import claims, event
 
 pytestmark = pytest.mark.anyio
-LONG_S = 20.0
+TIMEOUT_S = 20.0
 
 
 @pytest.fixture
@@ -22,10 +22,10 @@
     return "asyncio"
 
 
-class BrokenLog(log_client.Log):
-    """A log whose appends work though their answers are lost.
+class ResponseLosingLog(log_client.Log):
+    """A log whose appends succeed but whose responses are lost.
 
-    Nothing can be read of it.
+    Reads fail.
     """
 
     def __init__(self) -> None:
@@ -41,38 +41,38 @@
         raise log_client.PlatformError("no answer")
 
 
-async def test_a_desk_that_gives_up_releases_nothing_by_itself(
+async def test_claim_timeout_does_not_release_the_claim(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The attempt may hold the key by another scheduler's word, and run."""
+    """The attempt may have been granted by another scheduler and be running."""
     monkeypatch.setattr(claims, "CLAIM_TIMEOUT_S", 0.1)
-    log = BrokenLog()
+    log = ResponseLosingLog()
     send, decisions = anyio.create_memory_object_stream[str](10)
-    desk = claims.ClaimManager(
+    manager = claims.ClaimManager(
         log, lambda _, decision: send.send_nowait(decision.verdict)
     )
-    wish = peer_message.ClaimKey("key", "attempt", "digest")
+    claim_key = peer_message.ClaimKey("key", "attempt", "digest")
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(desk.run)
-        desk.post(event.ClaimRequested(peer_link.Session(), wish))
-        with anyio.fail_after(LONG_S):
-            verdict = await decisions.receive()
-        assert verdict == claim.ClaimStatus.UNAVAILABLE.value
+        tasks.start_soon(manager.run)
+        manager.post(event.ClaimRequested(peer_link.Session(), claim_key))
+        with anyio.fail_after(TIMEOUT_S):
+            status = await decisions.receive()
+        assert status == claim.ClaimStatus.UNAVAILABLE.value
         count = len(log.records)
-        with anyio.fail_after(LONG_S):
+        with anyio.fail_after(TIMEOUT_S):
             while len(log.records) < count + 3:
                 await anyio.sleep(0.01)
         assert {r["kind"] for r in log.records} == {"claim"}
-        desk.post(
+        manager.post(
             event.ClaimReleased(peer_message.ReleaseKey("key", "attempt"))
         )
-        with anyio.fail_after(LONG_S):
+        with anyio.fail_after(TIMEOUT_S):
             while log.records[-1]["kind"] != "release":
                 await anyio.sleep(0.01)
         tasks.cancel_scope.cancel()
 
 
-def test_an_entry_that_is_told_unavailable_releases_its_claim() -> None:
+def test_entry_releases_its_claim_if_the_log_is_unavailable() -> None:
     info = message.RequestInfo(
         "r", message.ShardKey("z", "s"), "c", "t", 1, 1, (), 9.0
     )
@@ -85,8 +85,8 @@
     assert machine.state is request.State.ENDED
 
 
-class LosingLog(log_client.Log):
-    """A log that never answers a read which waits, and all else."""
+class UnresponsiveLog(log_client.Log):
+    """A log that never responds to waiting reads, only to other calls."""
 
     def __init__(self) -> None:
         self.records: list[dict[str, Any]] = []
@@ -101,27 +101,27 @@
         if wait_s:
             await anyio.sleep_forever()
         records = [
-            log_client.LogRecord(offset + place, body)
-            for place, body in enumerate(self.records[offset:])
+            log_client.LogRecord(offset + index, body)
+            for index, body in enumerate(self.records[offset:])
         ]
         return log_client.Page(0, len(self.records), records)
 
 
-async def test_a_desk_finds_a_lost_read_by_its_own_append() -> None:
-    # The claim was on the log, but the desk waited for a read that was never
-    # answered and told the caller after two seconds that the log was down.
-    log = LosingLog()
+async def test_claim_is_decided_after_a_lost_read() -> None:
+    # The claim had reached the log, but the manager waited for a read without a
+    # response and reported the log as unavailable after two seconds.
+    log = UnresponsiveLog()
     send, decisions = anyio.create_memory_object_stream[str](10)
-    desk = claims.ClaimManager(
+    manager = claims.ClaimManager(
         log, lambda _, decision: send.send_nowait(decision.verdict)
     )
-    wish = peer_message.ClaimKey("key", "attempt", "digest")
+    claim_key = peer_message.ClaimKey("key", "attempt", "digest")
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(desk.run)
-        desk.post(event.PartitionsChanged(frozenset({0, 1, 2, 3})))
+        tasks.start_soon(manager.run)
+        manager.post(event.PartitionsChanged(frozenset({0, 1, 2, 3})))
         await anyio.sleep(0.2)
-        desk.post(event.ClaimRequested(peer_link.Session(), wish))
-        with anyio.fail_after(LONG_S):
-            verdict = await decisions.receive()
+        manager.post(event.ClaimRequested(peer_link.Session(), claim_key))
+        with anyio.fail_after(TIMEOUT_S):
+            status = await decisions.receive()
         tasks.cancel_scope.cancel()
-    assert verdict == claim.ClaimStatus.HELD.value
+    assert status == claim.ClaimStatus.HELD.value
--- a/test/test_poison.py
+++ b/test/test_poison.py
@@ -1,15 +1,15 @@
-"""A request that ends each backend server that begins to run it.
+"""Tests that a request which crashes its backend servers is soon blocked.
 
-Its caller sent it again and again, each try under an id of its own and to any
-VM; each took up to two replicas with it, and with them all that ran there.
-Nothing knew that the tries held the same, so 8 more followed after the third
-replica had ended, and 16 replicas ended in all.  What settled it:
+A caller retried such a request with a new id each time and at any VM.  Each try
+crashed up to two replicas and ended all requests on them.  Nothing recognized
+the tries as the same content, so 8 more followed after the third crash, and 16
+replicas crashed in total.  These events identified the cause:
 
     attempt_failed backend=i-0 content=63a517... presence=gone after_s=0.0906
     attempt_failed backend=i-1 content=63a517... presence=gone after_s=0.1036
     attempt_failed backend=i-2 content=63a517... presence=gone after_s=0.0951
 
-the first two on one VM, the third on another, of two tries.
+The first two are from one VM, the third from another; they are of two tries.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 REPLICAS = 4
 VMS = 3
 
-LATE_NEEDED = 4 * LATE_TRIES
-"""Tries after that, so that they tell something."""
+MIN_LATE_TRIES = 4 * LATE_TRIES
+"""Tries sent after that, so that the count is meaningful."""
 
-LONGEST_S = 30.0
-"""Time within which that many are sent, in seconds."""
+MAX_DURATION_S = 30.0
+"""Time within which that many tries are sent, in seconds."""
 
 
 @pytest.fixture
@@ -51,7 +51,7 @@
 def count_late_tries(
     started: node.Platform, supervisor: Supervisor, sent: dict[str, float]
 ) -> int:
-    """Returns how many tries ran that were sent once each VM must know."""
+    """Returns how many tries ran that were sent after all VMs must block."""
     known_at = supervisor.get_known_at()
     ran = {
         request_id
@@ -59,24 +59,24 @@
         for request_id in started.iterate_runs(name)
     }
     late = [name for name, at in sent.items() if at > known_at]
-    assert len(late) >= LATE_NEEDED, "too few tries to tell"
+    assert len(late) >= MIN_LATE_TRIES, "too few tries"
     return len(ran & set(late))
 
 
 def send_tries(
     started: node.Platform, path: str, supervisor: Supervisor
 ) -> dict[str, float]:
-    """Sends the request again and again to one VM after the other.
+    """Sends the request repeatedly, to one VM after the other.
 
     Returns:
-        The id of each try and when it was sent.
+        The time at which each try was sent, by its id.
     """
     sent: dict[str, float] = {}
-    ends_at = time.monotonic() + LONGEST_S
+    ends_at = time.monotonic() + MAX_DURATION_S
     for number in itertools.count():
         known_at = supervisor.get_known_at()
         late = sum(at > known_at for at in sent.values())
-        if late >= LATE_NEEDED or time.monotonic() > ends_at:
+        if late >= MIN_LATE_TRIES or time.monotonic() > ends_at:
             break
         name = f"try-{number}"
         sent[name] = time.monotonic()
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("path", ["/safe/", "/once/", "/stream/"])
-def test_a_request_that_ends_what_runs_it_is_soon_sent_no_more(
+def test_poison_request_is_soon_blocked(
     started: node.Platform, path: str
 ) -> None:
     with Supervisor(started) as supervisor:
@@ -96,7 +96,7 @@
 
 
 def block(started: node.Platform) -> None:
-    """Sends the request until it is refused, and restarts what has ended."""
+    """Sends the request until it is refused; restarts crashed replicas."""
     with Supervisor(started):
         for number in itertools.count():
             assert number < 20, "not blocked"
@@ -108,8 +108,8 @@
         time.sleep(PAUSE_S)
 
 
-def find_finder(started: node.Platform) -> str:
-    """Returns the VM whose scheduler found the request out."""
+def find_detecting_vm(started: node.Platform) -> str:
+    """Returns the VM whose scheduler blocked the request."""
     return next(
         name
         for name in started.vms
@@ -119,7 +119,7 @@
 
 
 def is_serving(started: node.Platform, vms: Iterable[str]) -> bool:
-    """Returns whether VMs serve, also while some are about to start."""
+    """Returns whether all VMs serve requests; some may be starting."""
     try:
         return all(ask(started, "/safe/", vm=vm).status == 200 for vm in vms)
     except OSError:
@@ -127,7 +127,7 @@
 
 
 def check_not_run(started: node.Platform, vms: Iterable[str]) -> None:
-    """Checks that VMs refuse the request and say truly that it did not run."""
+    """Checks that VMs refuse the request and that it did not run."""
     for vm in vms:
         name = f"after-{vm}"
         answer = ask(started, "/safe/", "POST", BODY, vm, X_Request_Id=name)
@@ -150,7 +150,7 @@
     return done.stdout
 
 
-def test_an_operator_sees_blocks_and_lifts_them(
+def test_operator_can_list_and_lift_blocks(
     started: node.Platform,
 ) -> None:
     block(started)
@@ -167,22 +167,22 @@
         )
 
 
-def test_a_vm_that_starts_again_knows_at_once(started: node.Platform) -> None:
+def test_restarted_vm_learns_blocks_from_others(started: node.Platform) -> None:
     block(started)
-    restarted = next(n for n in started.vms if n != find_finder(started))
+    restarted = next(n for n in started.vms if n != find_detecting_vm(started))
     started.kill_vm(restarted)
     started.restart_vm(restarted)
     wait_until(lambda: is_serving(started, [restarted]))
     check_not_run(started, [restarted])
 
 
-def test_the_others_know_when_the_one_that_found_out_is_gone(
+def test_block_survives_the_loss_of_the_vm_that_detected_it(
     started: node.Platform,
 ) -> None:
     block(started)
-    finder = find_finder(started)
-    started.kill_vm(finder)
-    left = [name for name in started.vms if name != finder]
+    detecting_vm = find_detecting_vm(started)
+    started.kill_vm(detecting_vm)
+    left = [name for name in started.vms if name != detecting_vm]
     wait_until(lambda: is_serving(started, left))
     check_not_run(started, left)
 
@@ -195,18 +195,18 @@
     wait_until(lambda: is_serving(started, started.vms))
 
 
-def test_a_block_outlives_a_restart_of_all_vms(started: node.Platform) -> None:
+def test_block_survives_a_restart_of_all_vms(started: node.Platform) -> None:
     block(started)
     restart_all(started)
     check_not_run(started, started.vms)
 
 
-def test_a_block_outlives_a_store_that_comes_back_older(
+def test_block_survives_a_store_restored_from_an_older_copy(
     started: node.Platform,
 ) -> None:
     block(started)
     started.lose_records(1)
-    # What replicas and the operator wrote, they write again.
+    # Replicas and the operator write their records again.
     started.set_config(node.make_config(2))
     for name in started.replicas:
         started.write_record(name, born=int(time.time() * 1000))
--- a/test/test_rollout.py
+++ b/test/test_rollout.py
@@ -1,4 +1,4 @@
-"""Releases are rolled out by canary, and rolled back where they are bad."""
+"""Tests canary rollouts: good releases complete, bad ones are rolled back."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 ORDER = rollout.Order("lm", "v2", 10.0, 0.0)
 KEY = message.ShardKey("all", "lm")
-PLACES = rollout.Capacity(10, 10, 0)
+CAPACITY = rollout.Capacity(10, 10, 0)
 
 
 @pytest.fixture
@@ -31,11 +31,11 @@
     return "asyncio"
 
 
-# Verdicts and what a bad release gets, over kinds and seeds.
+# Verdicts, and the requests that a bad release receives, in simulations.
 
 
 @pytest.mark.parametrize("kind", simulation.KINDS, ids=lambda kind: kind.name)
-def test_no_release_is_judged_wrongly_or_gets_more_than_permitted(
+def test_verdicts_are_correct_and_limits_hold_in_simulation(
     kind: simulation.Kind,
 ) -> None:
     wanted = rollout.State.COMPLETED
@@ -50,44 +50,44 @@
             assert outcome.failures <= 50
 
 
-def answer(is_new: bool, failed: bool = False) -> rollout.Response:
+def make_response(is_new: bool, failed: bool = False) -> rollout.Response:
     return rollout.Response(is_new, "/a/", failed, 1.0, 0.003)
 
 
-def make_sound(order: rollout.Order = ORDER) -> rollout.Rollout:
-    """Returns a rollout whose release has answered well for a while."""
+def make_healthy(order: rollout.Order = ORDER) -> rollout.Rollout:
+    """Returns a rollout whose release has returned only good responses."""
     made = rollout.Rollout(order)
     for _ in range(40):
-        made.record_response(answer(True))
+        made.record_response(make_response(True))
     return made
 
 
 def complete() -> rollout.Rollout:
-    """Returns a rollout that has been completed."""
-    made = make_sound()
+    """Returns a completed rollout."""
+    made = make_healthy()
     made.may_receive("v1", 1.0)
     for now in (6.0, 8.0, 9.5):
-        made.advance(PLACES, now)
+        made.advance(CAPACITY, now)
     assert made.state is rollout.State.COMPLETED
     return made
 
 
-def test_a_release_is_completed_only_when_nothing_runs_on_the_old_one() -> None:
-    made = make_sound()
+def test_rollout_completes_only_when_the_old_release_is_drained() -> None:
+    made = make_healthy()
     busy = rollout.Capacity(10, 10, 1)
     for now in (6.0, 8.0, 9.5):
         assert made.advance(busy, now) is rollout.State.RUNNING
     assert not made.may_receive("v1", 1.0)
-    assert made.advance(PLACES, 10.0) is rollout.State.COMPLETED
+    assert made.advance(CAPACITY, 10.0) is rollout.State.COMPLETED
     assert made.may_receive("v2", 1.0)
     assert not made.may_receive("v1", 1.0)
 
 
-def test_a_later_release_is_none_of_a_completed_rollout_s() -> None:
-    made = make_sound()
+def test_completed_rollout_does_not_affect_later_releases() -> None:
+    made = make_healthy()
     for now in (6.0, 8.0, 9.5):
         assert made.may_receive("v1", 1.0) is (now < 9.5)
-        made.advance(PLACES, now)
+        made.advance(CAPACITY, now)
     assert made.state is rollout.State.COMPLETED
     assert [r for r in ("v1", "v2", "v3") if made.may_receive(r, 1.0)] == [
         "v2",
@@ -95,22 +95,22 @@
     ]
 
 
-def test_a_release_without_places_for_the_traffic_is_not_promoted() -> None:
-    made = make_sound()
+def test_release_without_capacity_is_not_promoted() -> None:
+    made = make_healthy()
     assert (
         made.advance(rollout.Capacity(2, 10, 0), 9.9) is rollout.State.RUNNING
     )
     assert made.may_receive("v1", 1.0)
 
 
-def test_a_release_that_turns_bad_as_it_is_promoted_is_rolled_back() -> None:
-    made = make_sound()
+def test_release_that_turns_bad_during_promotion_is_rolled_back() -> None:
+    made = make_healthy()
     for now in (6.0, 8.0):
         made.advance(rollout.Capacity(10, 10, 5), now)
     assert not made.may_receive("v1", 1.0)
     failures = 0
     while made.state is rollout.State.RUNNING:
-        made.record_response(answer(True, failed=True))
+        made.record_response(make_response(True, failed=True))
         failures += 1
     assert failures < 10
     assert made.state is rollout.State.ROLLED_BACK
@@ -118,16 +118,16 @@
     assert made.may_receive("v1", 1.0)
 
 
-def test_a_final_state_is_never_taken_back() -> None:
+def test_final_state_never_changes() -> None:
     made = complete()
     for _ in range(100):
-        made.record_response(answer(True, failed=True))
+        made.record_response(make_response(True, failed=True))
     assert made.state is rollout.State.COMPLETED
     made.apply_verdict(rollout.Verdict("lm", "v2", rollout.State.ROLLED_BACK))
     assert made.state is rollout.State.COMPLETED
 
 
-def test_what_the_log_keeps_goes_before_what_was_decided_here() -> None:
+def test_stored_verdict_overrides_the_local_one() -> None:
     made = complete()
     kept = rollout.Verdict("lm", "v2", rollout.State.ROLLED_BACK, "", True)
     made.apply_verdict(kept)
@@ -136,7 +136,7 @@
     assert made.state is rollout.State.ROLLED_BACK
 
 
-# The owner of a service.
+# Owners of a service.
 
 
 def make_owner() -> shard.ShardOwner:
@@ -159,7 +159,7 @@
 
 
 def serve(owner: shard.ShardOwner, number: int, fails: str) -> str | None:
-    """Serves a request; returns the release that got it."""
+    """Serves a request; returns the release that received it."""
     now = number * 0.02
     info = message.RequestInfo(f"r{number}", KEY, "c", "t", 10, 10, (), 9.0)
     out = owner.receive("e", message.Enqueue(info), now)
@@ -173,7 +173,7 @@
     return release
 
 
-def test_an_owner_gives_a_failing_release_up_within_its_share() -> None:
+def test_owner_rolls_back_a_failing_release_within_its_share() -> None:
     owner = make_owner()
     got = [serve(owner, number, "v2") for number in range(400)]
     assert owner.releases.rollout is not None
@@ -182,7 +182,7 @@
     assert got.count("v1") == 400 - got.count("v2")
 
 
-def test_an_owner_moves_the_traffic_to_a_sound_release() -> None:
+def test_owner_moves_traffic_to_a_healthy_release() -> None:
     owner = make_owner()
     got = [serve(owner, number, "-") for number in range(500)]
     assert owner.releases.rollout is not None
@@ -191,7 +191,7 @@
     assert got[:200].count("v2") <= 0.1 * 200 + 10
 
 
-def test_operators_see_state_evidence_and_reason() -> None:
+def test_status_shows_state_and_reason() -> None:
     owner = make_owner()
     for number in range(300):
         serve(owner, number, "v2")
@@ -223,24 +223,24 @@
     assert "fails more often on all routes" in line
 
 
-# What VMs tell one another, and what the log keeps.
+# Verdicts exchanged between VMs and stored in the log.
 
 
-def test_a_verdict_travels_between_schedulers() -> None:
-    book = rollouts.VerdictStore()
-    told: list[rollout.Verdict] = []
-    book.on_change(told.append)
+def test_final_verdict_is_passed_on_once() -> None:
+    verdicts = rollouts.VerdictStore()
+    reported: list[rollout.Verdict] = []
+    verdicts.on_change(reported.append)
     verdict = rollout.Verdict("lm", "v2", rollout.State.ROLLED_BACK, "why")
-    book.merge([rollout.Verdict("lm", "v2", rollout.State.RUNNING)])
-    assert book.list_final() == []
+    verdicts.merge([rollout.Verdict("lm", "v2", rollout.State.RUNNING)])
+    assert verdicts.list_final() == []
     for _ in range(2):
-        book.merge([verdict])
-    assert told[1:] == [verdict]
-    assert book.list_final() == [verdict]
+        verdicts.merge([verdict])
+    assert reported[1:] == [verdict]
+    assert verdicts.list_final() == [verdict]
 
 
 class MemoryLog(verdictlog.VerdictLog):
-    """Keeps the first final verdict; fails at first."""
+    """Stores the first final verdict, after some failures."""
 
     def __init__(self, kept: rollout.Verdict | None, failures: int) -> None:
         self.kept = kept
@@ -259,34 +259,34 @@
 @pytest.mark.parametrize(
     "kept", [None, rollout.State.RUNNING, rollout.State.COMPLETED]
 )
-async def test_a_verdict_is_kept_once_the_log_takes_it(
+async def test_verdict_is_stored_once_the_log_is_available(
     kept: rollout.State | None,
 ) -> None:
     found = kept and rollout.Verdict("lm", "v2", kept)
     log = MemoryLog(found, failures=2)
-    book = rollouts.VerdictStore()
-    keeper = rollouts.VerdictWriter(log, book)
-    mine = rollout.Verdict("lm", "v2", rollout.State.ROLLED_BACK)
-    book.merge([mine])
+    verdicts = rollouts.VerdictStore()
+    writer = rollouts.VerdictWriter(log, verdicts)
+    local = rollout.Verdict("lm", "v2", rollout.State.ROLLED_BACK)
+    verdicts.merge([local])
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(keeper.run)
-        keeper.enqueue(mine)
+        tasks.start_soon(writer.run)
+        writer.enqueue(local)
         with anyio.fail_after(10.0):
-            while not getattr(book.get("lm"), "is_kept", False):
+            while not getattr(verdicts.get("lm"), "is_kept", False):
                 await anyio.sleep(0.05)
         tasks.cancel_scope.cancel()
-    known = book.get("lm")
+    known = verdicts.get("lm")
     assert known is not None
     final = kept is rollout.State.COMPLETED
     wanted = kept if final else rollout.State.ROLLED_BACK
     assert known.state is wanted
 
 
-# The platform.
+# The platform adapter.
 
 
-def test_an_order_that_makes_no_sense_is_passed_over() -> None:
-    book = platform_rollout.OrderBook(settings.RolloutTerms(0.1, 50))
+def test_invalid_order_is_ignored() -> None:
+    orders = platform_rollout.OrderBook(settings.RolloutTerms(0.1, 50))
     good = {"service": "lm", "targetVersion": "v2", "durationS": 12}
     bad = [
         b"{}",
@@ -295,13 +295,13 @@
         json.dumps({**good, "targetVersion": ""}).encode(),
     ]
     for value in bad:
-        assert not book.take([store.Change("rollout/lm", value)], False, 0.0)
+        assert not orders.take([store.Change("rollout/lm", value)], False, 0.0)
     change = store.Change("rollout/lm", json.dumps(good).encode())
-    assert book.take([change], False, 5.0)
-    # Read again, it has not begun anew.
-    assert not book.take([change], True, 9.0)
-    assert book.list_orders()["lm"].began_at == 5.0
-    assert book.take([store.Change("rollout/lm", None)], False, 9.0)
+    assert orders.take([change], False, 5.0)
+    # Reading the same order again does not restart the rollout.
+    assert not orders.take([change], True, 9.0)
+    assert orders.list_orders()["lm"].began_at == 5.0
+    assert orders.take([store.Change("rollout/lm", None)], False, 9.0)
 
 
 @pytest.fixture
@@ -317,7 +317,7 @@
 def roll_out(
     started: node.Platform, seconds: float, fails: bool = False
 ) -> list[int]:
-    """Orders a rollout and asks until it is decided; returns the statuses."""
+    """Starts a rollout and sends requests until it ends; returns statuses."""
     started.set_order(
         "rollout/lm", service="lm", targetVersion="v2", durationS=seconds
     )
@@ -328,18 +328,18 @@
     while time.monotonic() < ends_at:
         vm = f"vm-{len(statuses) % 2}"
         statuses.append(test_node.ask(started, "/safe/", vm=vm).status)
-        told = started.read_status("rollout/lm")
-        if told and told["state"] != "running":
+        reported = started.read_status("rollout/lm")
+        if reported and reported["state"] != "running":
             break
     return statuses
 
 
-def test_a_bad_release_is_rolled_back_and_told_so(
+def test_bad_release_is_rolled_back_and_reported(
     started: node.Platform,
 ) -> None:
     roll_out(started, 6.0, fails=True)
-    told = started.read_status("rollout/lm")
-    assert told == {"state": "rolled_back", "targetVersion": "v2"}
+    reported = started.read_status("rollout/lm")
+    assert reported == {"state": "rolled_back", "targetVersion": "v2"}
     before = len(started.read_ledger("i-1")["runs"])
     assert before <= 30
     statuses = {test_node.ask(started, "/safe/").status for _ in range(20)}
@@ -347,13 +347,13 @@
     assert len(started.read_ledger("i-1")["runs"]) == before
 
 
-def test_a_good_release_takes_the_traffic_and_is_told_completed(
+def test_good_release_receives_all_traffic_and_is_reported(
     started: node.Platform,
 ) -> None:
     statuses = roll_out(started, 5.0)
     assert set(statuses) == {200}
-    told = started.read_status("rollout/lm")
-    assert told == {"state": "completed", "targetVersion": "v2"}
+    reported = started.read_status("rollout/lm")
+    assert reported == {"state": "completed", "targetVersion": "v2"}
     before = len(started.read_ledger("i-0")["runs"])
     assert {test_node.ask(started, "/safe/").status for _ in range(20)} == {200}
     assert len(started.read_ledger("i-0")["runs"]) == before
