--- a/ramptray/scheduler/claims.py
+++ b/ramptray/scheduler/claims.py
@@ -107,8 +107,8 @@
 
     def _handle(self, posted: Any) -> None:
         match posted:
-            case event.ClaimRequested(session, wish):
-                self._request_claim(session, wish)
+            case event.ClaimRequested(session, claim_request):
+                self._request_claim(session, claim_request)
             case event.ClaimReleased(release):
                 partition = self._get_partition(release.key)
                 partition.pending.pop(release.attempt, None)
@@ -132,17 +132,17 @@
                 self._update_partitions(numbers)
 
     def _request_claim(
-        self, session: peer_link.Session, wish: peer_message.ClaimKey
+        self, session: peer_link.Session, claim_request: peer_message.ClaimKey
     ) -> None:
-        partition = self._get_partition(wish.key)
-        existing = partition.pending.get(wish.attempt)
+        partition = self._get_partition(claim_request.key)
+        existing = partition.pending.get(claim_request.attempt)
         if existing is not None:
             existing.session = session
             return
-        partition.pending[wish.attempt] = _PendingClaim(
-            session, wish, steadyclock.read()
+        partition.pending[claim_request.attempt] = _PendingClaim(
+            session, claim_request, steadyclock.read()
         )
-        self._enqueue_record(partition, _make_claim_record(wish))
+        self._enqueue_record(partition, _make_claim_record(claim_request))
 
     def _enqueue_record(
         self, partition: Partition, record: claim.ClaimRecord
@@ -226,25 +226,27 @@
 
     def _decide_pending(self, partition: Partition) -> None:
         for attempt, pending in list(partition.pending.items()):
-            wish = pending.wish
-            verdict = partition.ledger.get_claim_status(
-                wish.key, attempt, wish.digest
+            claim_request = pending.wish
+            claim_status = partition.ledger.get_claim_status(
+                claim_request.key, attempt, claim_request.digest
             )
-            if verdict is not None:
-                self._send_decision(partition, pending, verdict)
+            if claim_status is not None:
+                self._send_decision(partition, pending, claim_status)
 
     def _send_decision(
         self,
         partition: Partition,
         pending: _PendingClaim,
-        verdict: claim.ClaimStatus,
+        claim_status: claim.ClaimStatus,
     ) -> None:
-        wish = pending.wish
-        del partition.pending[wish.attempt]
-        status = partition.ledger.get_response_status(wish.key)
+        claim_request = pending.wish
+        del partition.pending[claim_request.attempt]
+        status = partition.ledger.get_response_status(claim_request.key)
         self._on_decision(
             pending.session,
-            peer_message.ClaimDecision(wish.attempt, verdict.value, status),
+            peer_message.ClaimDecision(
+                claim_request.attempt, claim_status.value, status
+            ),
         )
 
     async def _run_ticks(self) -> None:
@@ -267,9 +269,14 @@
         self._send_decision(partition, pending, claim.ClaimStatus.UNAVAILABLE)
 
 
-def _make_claim_record(wish: peer_message.ClaimKey) -> claim.ClaimRecord:
+def _make_claim_record(
+    claim_request: peer_message.ClaimKey,
+) -> claim.ClaimRecord:
     return claim.ClaimRecord(
-        claim.RecordKind.CLAIM, wish.key, wish.attempt, wish.digest
+        claim.RecordKind.CLAIM,
+        claim_request.key,
+        claim_request.attempt,
+        claim_request.digest,
     )
 
 
--- a/ramptray/scheduler/content_blocker.py
+++ b/ramptray/scheduler/content_blocker.py
@@ -98,7 +98,7 @@
         crash = poison.Crash(server.info.name, server.info.run, now, runners)
         if self.detector.has_ended(crash):
             return
-        verdicts = self.detector.record_crash(crash)
+        detections = self.detector.record_crash(crash)
         self.on_crash()
         self._timeline.note(
             "crash",
@@ -114,23 +114,23 @@
                 for runner in runners.values()
             ],
         )
-        self._log_blocked(verdicts, now)
+        self._log_blocked(detections, now)
 
     def _log_blocked(
-        self, verdicts: list[poison.Detection], now: float
+        self, detections: list[poison.Detection], now: float
     ) -> None:
-        for verdict in verdicts:
-            block = verdict.block
+        for detection in detections:
+            block = detection.block
             LOG.warning(
                 "content blocked",
                 extra={
                     "content": block.content,
                     "times": block.level,
                     "left_s": round(block.until - now, 1),
-                    "count": verdict.count,
-                    "backends": verdict.backends,
-                    "request_ids": verdict.request_ids,
-                    "tied": verdict.tied,
+                    "count": detection.count,
+                    "backends": detection.backends,
+                    "request_ids": detection.request_ids,
+                    "tied": detection.tied,
                     "origin": "crashes",
                 },
             )
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -203,14 +203,14 @@
             case event.TimelineRequested():
                 self._request_events(posted)
 
-    def _request_events(self, wanted: event.TimelineRequested) -> None:
+    def _request_events(self, request: event.TimelineRequested) -> None:
         vm = self._gossiper.membership.me.vm
-        asked = [
+        sessions = [
             session
             for session, attached in self._attached
             if attached.hello.vm == vm
         ]
-        self._timeline_queries.ask(wanted, asked)
+        self._timeline_queries.ask(request, sessions)
 
     # Attached processes.
 
@@ -283,8 +283,8 @@
             session.send(peer_message.LowestGeneration(self._lowest_generation))
             return
         if len(self.blocks):
-            news = self.blocks.list_updates(steadyclock.read())
-            session.send(peer_message.BlockedContents(news))
+            updates = self.blocks.list_updates(steadyclock.read())
+            session.send(peer_message.BlockedContents(updates))
         self._attached.add_entry(session, hello.name)
         for owner in self.shards.values():
             owner.begin_sync(hello.name)
@@ -305,11 +305,11 @@
 
     def _close(self, session: peer_link.Session, now: float) -> None:
         self._timeline_queries.drop_session(session)
-        lost = self._attached.remove(session)
-        if lost is None:
+        entry = self._attached.remove(session)
+        if entry is None:
             return
         for owner in self.shards.values():
-            owner.detach_entry(lost, now)
+            owner.detach_entry(entry, now)
 
     def _forward_to_shard(
         self,
@@ -366,18 +366,18 @@
                 self._send_effects(out)
                 return
 
-    def _propagate_blocks(self, news: list[blocklist.BlockUpdate]) -> None:
+    def _propagate_blocks(self, updates: list[blocklist.BlockUpdate]) -> None:
         """Sends blocks to the entries, and rejects blocked queued requests."""
-        spread = peer_message.BlockedContents(news)
+        notification = peer_message.BlockedContents(updates)
         for session, attached in self._attached:
             if attached.hello.kind == "entry":
-                session.send(spread)
-        for each in news:
-            if each.lifted:
+                session.send(notification)
+        for update in updates:
+            if update.lifted:
                 continue
             for owner in self.shards.values():
                 self._send_effects(
-                    owner.refuse_waiting(each.content, each.left_s)
+                    owner.refuse_waiting(update.content, update.left_s)
                 )
 
     def _send_effects(
@@ -555,11 +555,13 @@
         leaving = self._listed_leaving | self._reported_leaving
         for owner in self.shards.values():
             for name in owner.fleet.backends:
-                left = name in leaving or not owner.fleet.is_configured(name)
+                is_leaving = name in leaving or not owner.fleet.is_configured(
+                    name
+                )
                 owner.fleet.set_state(
                     name,
                     backend.BackendState.LEAVING
-                    if left
+                    if is_leaving
                     else backend.BackendState.ACTIVE,
                 )
 
--- a/ramptray/scheduler/query.py
+++ b/ramptray/scheduler/query.py
@@ -30,16 +30,16 @@
 
     def ask(
         self,
-        wanted: event.TimelineRequested,
+        request: event.TimelineRequested,
         sessions: Iterable[peer_link.Session],
     ) -> None:
         """Sends a query to some attached processes."""
         ticket = next(self._tickets)
-        question = msgspec.structs.replace(wanted.question, ticket=ticket)
+        question = msgspec.structs.replace(request.question, ticket=ticket)
         for session in sessions:
-            self._pending[ticket, session] = wanted.answers.clone()
+            self._pending[ticket, session] = request.answers.clone()
             session.send(question)
-        wanted.answers.close()
+        request.answers.close()
 
     def forward_answer(
         self, session: peer_link.Session, events: peer_message.TimelineEvents
--- a/ramptray/scheduler/rollouts.py
+++ b/ramptray/scheduler/rollouts.py
@@ -41,9 +41,9 @@
         """Returns the verdicts to send to other VMs."""
         return [v for v in self._verdicts.values() if v.state.is_final]
 
-    def merge(self, found: Iterable[rollout.Verdict]) -> None:
+    def merge(self, verdicts: Iterable[rollout.Verdict]) -> None:
         """Merges verdicts made by this VM or read from other VMs or the log."""
-        for verdict in found:
+        for verdict in verdicts:
             if not verdict.replaces(self._verdicts.get(verdict.service)):
                 continue
             self._verdicts[verdict.service] = verdict
@@ -85,8 +85,8 @@
             is_owned: Whether this scheduler owns the shard; otherwise it is a
                 stand-in for the owner.
         """
-        known = self.verdicts.get(owner.shard.service)
-        owner.releases.set_order(order, known)
+        verdict = self.verdicts.get(owner.shard.service)
+        owner.releases.set_order(order, verdict)
         if is_owned:
             self._publish_verdict(owner)
 
@@ -112,9 +112,9 @@
 
     def _apply_verdict(self, verdict: rollout.Verdict) -> None:
         for owner in self._list_owners():
-            found = owner.releases.rollout
-            if found and owner.shard.service == verdict.service:
-                found.apply_verdict(verdict)
+            current = owner.releases.rollout
+            if current and owner.shard.service == verdict.service:
+                current.apply_verdict(verdict)
 
 
 class VerdictWriter:
@@ -148,7 +148,7 @@
 
     async def _save(self, service: str, verdict: rollout.Verdict) -> None:
         try:
-            kept = await self._verdict_log.save(verdict)
+            stored = await self._verdict_log.save(verdict)
         except log_error.LogError as error:
             LOG.warning(
                 "verdict not kept yet",
@@ -159,8 +159,8 @@
             return
         if self._pending.get(service) is verdict:
             del self._pending[service]
-        LOG.info("verdict stored", extra=msgspec.to_builtins(kept))
-        self._store.merge([msgspec.structs.replace(kept, is_kept=True)])
+        LOG.info("verdict stored", extra=msgspec.to_builtins(stored))
+        self._store.merge([msgspec.structs.replace(stored, is_kept=True)])
 
 
 def _ignore_verdict(verdict: rollout.Verdict) -> None:
