--- a/test/hinting.py
+++ b/test/hinting.py
@@ -17,26 +17,26 @@
 PAUSES_S = (0.8, 2.0, 3.0)
 """Pauses that are asked for, in seconds."""
 
-SPELL_S = (2.0, 6.0)
+REFUSAL_DURATION_S = (2.0, 6.0)
 """Least and most time for which a replica turns requests away, in seconds."""
 
-BETWEEN_S = (0.5, 2.5)
+REFUSAL_INTERVAL_S = (0.5, 2.5)
 """Least and most time between two spells, in seconds."""
 
-REFUSE_EACH = (1, 2, 3)
+REFUSE_ONE_IN = (1, 2, 3)
 """Of how many requests one is turned away in a spell."""
 
-REACTION_S = 0.5
+PROPAGATION_S = 0.5
 """Time from a replica's answer until the pause must be kept, in seconds."""
 
-ALLOWED = 2
+MAX_REQUESTS_IN_PAUSE = 2
 """Requests that a VM may send in a pause."""
 
-DRAIN_S = 2.0
+LEAVING_DELAY_S = 2.0
 """Time from an answer that says that its replica is leaving until requests of
 callers may not go there, in seconds."""
 
-LINK_CALM_S = 0.5
+LINK_FAULT_MARGIN_S = 0.5
 """Time around a fault of a link in which answers may be lost, in seconds."""
 
 
@@ -44,15 +44,15 @@
     """Has replicas turn requests away, and one of them leave.
 
     Args:
-        harmer: Sets what replicas do.
+        fault_injector: Sets what replicas do.
         rng: Chooses.
         names: The replicas.
     """
 
     def __init__(
-        self, harmer: harm.Harm, rng: random.Random, names: list[str]
+        self, fault_injector: harm.Harm, rng: random.Random, names: list[str]
     ) -> None:
-        self._harm = harmer
+        self._harm = fault_injector
         self._rng = rng
         self._names = names
 
@@ -68,13 +68,13 @@
                 self._harm.give_hints(
                     name,
                     refuse=True,
-                    refuse_each=self._rng.choice(REFUSE_EACH),
+                    refuse_each=self._rng.choice(REFUSE_ONE_IN),
                     pauses=[str(self._rng.choice(PAUSES_S))],
                 )
-            _wait(self._rng.uniform(*SPELL_S), is_over)
+            _wait(self._rng.uniform(*REFUSAL_DURATION_S), is_over)
             if name != leaving:
                 self._harm.give_hints(name)
-            _wait(self._rng.uniform(*BETWEEN_S), is_over)
+            _wait(self._rng.uniform(*REFUSAL_INTERVAL_S), is_over)
 
 
 def _wait(seconds: float, is_over: Callable[[], bool]) -> None:
@@ -96,13 +96,13 @@
             for line in _iterate_lines(started, name, "arrived")
             if line["request_id"] in asks
         ]
-        _judge_pauses(pauses, started, record, name, asks, arrivals)
-        _judge_leaving(leaving, record, name, arrivals)
+        _check_pauses(pauses, started, record, name, asks, arrivals)
+        _check_leaving(leaving, record, name, arrivals)
     return [pauses, leaving]
 
 
-def _judge_pauses(
-    kept: promise.Promise,
+def _check_pauses(
+    invariant: promise.Promise,
     started: node.Platform,
     record: verdict.Record,
     name: str,
@@ -115,42 +115,44 @@
         if asked is None or not line["pauses"]:
             continue
         begin, pause_s = line["at"], float(line["pauses"][0])
-        if _is_harmed(record, {name, asked.vm}, begin, begin + pause_s):
+        if _has_fault(record, {name, asked.vm}, begin, begin + pause_s):
             continue
         count = sum(
-            begin + REACTION_S < at <= begin + pause_s and ask.vm == asked.vm
+            begin + PROPAGATION_S < at <= begin + pause_s and ask.vm == asked.vm
             for at, ask in arrivals
         )
         detail = f"{name}: {count} from {asked.vm} in {pause_s} s"
-        kept.judge(count <= ALLOWED, f"{detail} from {begin:.2f}")
+        invariant.judge(
+            count <= MAX_REQUESTS_IN_PAUSE, f"{detail} from {begin:.2f}"
+        )
 
 
-def _judge_leaving(
-    kept: promise.Promise,
+def _check_leaving(
+    invariant: promise.Promise,
     record: verdict.Record,
     name: str,
     arrivals: list[tuple[float, verdict.Ask]],
 ) -> None:
     """Judges each answer that said that its replica was leaving."""
-    told = [ask for ask in record.asks if ask.leaving == name]
-    for answer in told:
+    notified = [ask for ask in record.asks if ask.leaving == name]
+    for answer in notified:
         for at, ask in arrivals:
-            late = ask.sent_at > answer.answered_at + DRAIN_S
+            late = ask.sent_at > answer.answered_at + LEAVING_DELAY_S
             if ask.vm != answer.vm or not late:
                 continue
-            if _is_harmed(record, {name, ask.vm}, answer.sent_at, at):
+            if _has_fault(record, {name, ask.vm}, answer.sent_at, at):
                 continue
             detail = f"{ask.name} on {name} from {ask.vm}"
-            kept.judge(False, f"{detail}, told by {answer.name}")
-        kept.judge(True, name)
+            invariant.judge(False, f"{detail}, notified by {answer.name}")
+        invariant.judge(True, name)
 
 
-def _is_harmed(
+def _has_fault(
     record: verdict.Record, names: set[str], begin: float, end: float
 ) -> bool:
     """Returns whether a VM or replica had a fault in some time."""
     return any(
-        fault.began < end and fault.ended + LINK_CALM_S > begin
+        fault.began < end and fault.ended + LINK_FAULT_MARGIN_S > begin
         for fault in record.faults
         if fault.name.split()[-1] in names
     )
--- a/test/test_attachment.py
+++ b/test/test_attachment.py
@@ -30,7 +30,7 @@
     return "asyncio"
 
 
-class Greeter(peer_link.Servant):
+class EmptyViewServer(peer_link.Servant):
     """Answers each greeting with an empty view."""
 
     def __init__(self) -> None:
@@ -58,8 +58,8 @@
     run = testing.CliRunner().invoke
     if not (folder / "authority.key").exists():
         assert run(keys.group, ["authority", str(folder)]).exit_code == 0
-    made = run(keys.group, ["certificate", str(folder), "--name", name])
-    assert made.exit_code == 0
+    result = run(keys.group, ["certificate", str(folder), "--name", name])
+    assert result.exit_code == 0
     return settings.TlsSettings(
         certificate_file=str(folder / f"{name}.pem"),
         key_file=str(folder / f"{name}.key"),
@@ -67,25 +67,25 @@
     )
 
 
-async def test_peers_with_keys_of_one_authority_talk_and_no_others(
+async def test_only_peers_with_certificates_of_one_authority_connect(
     tmp_path: pathlib.Path,
 ) -> None:
     address = deployment.pick_address()
     ours, theirs = tmp_path / "ours", tmp_path / "theirs"
     server = peer_server.PeerServer(
-        Greeter(), make_clock(), make_tls(ours, "scheduler")
+        EmptyViewServer(), make_clock(), make_tls(ours, "scheduler")
     )
     await server.start(address)
     question = peer_message.FetchBundle(1)
     try:
-        friend = peer_link.PeerClient(make_clock(), make_tls(ours, "entry"))
-        assert await friend.ask(address, question, LONG_S) == question
-        await friend.close()
-        for keys_of_peer in (None, make_tls(theirs, "entry")):
-            stranger = peer_link.PeerClient(make_clock(), keys_of_peer)
+        trusted = peer_link.PeerClient(make_clock(), make_tls(ours, "entry"))
+        assert await trusted.ask(address, question, LONG_S) == question
+        await trusted.close()
+        for peer_keys in (None, make_tls(theirs, "entry")):
+            untrusted = peer_link.PeerClient(make_clock(), peer_keys)
             with pytest.raises(peer_link.LinkError):
-                await stranger.ask(address, question, 3.0)
-            await stranger.close()
+                await untrusted.ask(address, question, 3.0)
+            await untrusted.close()
     finally:
         await server.stop(0.0)
 
@@ -100,12 +100,10 @@
                 return
 
 
-async def test_link_to_the_same_address_opens_while_the_old_one_closes() -> (
-    None
-):
+async def test_new_link_opens_while_old_link_to_same_address_closes() -> None:
     address = deployment.pick_address()
-    greeter = Greeter()
-    server = peer_server.PeerServer(greeter, make_clock(), None)
+    server_handler = EmptyViewServer()
+    server = peer_server.PeerServer(server_handler, make_clock(), None)
     await server.start(address)
     client = peer_link.PeerClient(make_clock(), None)
     send, events = anyio.create_memory_object_stream[attachment.Event](1000)
@@ -130,7 +128,9 @@
         link = attachment.Attachment(address, HELLO, client, send.send_nowait)
         tasks.start_soon(link.run)
         for _ in range(2):
-            server = peer_server.PeerServer(Greeter(), make_clock(), None)
+            server = peer_server.PeerServer(
+                EmptyViewServer(), make_clock(), None
+            )
             await server.start(address)
             await wait_up(events)
             await server.stop(0.0)
@@ -149,7 +149,7 @@
 
 
 def test_a_stream_that_ended_just_before_breaks_only_the_link() -> None:
-    made = peer_link.Link(
+    link = peer_link.Link(
         "127.0.0.1:1",
         _EndedCall(),
         clock.HybridClock(lambda: 0),
@@ -158,8 +158,8 @@
 
     async def use() -> None:
         with pytest.raises(peer_link.LinkError, match="already finished"):
-            await made.send(peer_message.AskStatus())
+            await link.send(peer_message.AskStatus())
         with pytest.raises(peer_link.LinkError, match="already finished"):
-            await made.receive()
+            await link.receive()
 
     anyio.run(use)
--- a/test/test_channels.py
+++ b/test/test_channels.py
@@ -8,7 +8,7 @@
 from ramptray import steadyclock
 from ramptray.peer import link as peer_link
 from ramptray.peer import message as peer_message
-from test.test_attachment import Greeter
+from test.test_attachment import EmptyViewServer
 from test.test_stopped_link import Slow, serve
 
 pytestmark = pytest.mark.anyio
@@ -24,7 +24,7 @@
 async def test_a_channel_is_closed_when_nothing_is_asked_for_a_while() -> None:
     # Of 195 VMs each had kept a connection to every other one that it had ever
     # probed: 479 to 528 open descriptors a VM.
-    async with serve(Greeter()) as (address, client):
+    async with serve(EmptyViewServer()) as (address, client):
         await client.ask(address, QUESTION, 5.0)
         now = steadyclock.read()
         await client.close_idle(now + peer_link.IDLE_S / 2)
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -25,7 +25,7 @@
 LEAVING = server_hints.HeadReceived("r0", "s0", 0, is_leaving=True, owner=OURS)
 
 
-class Book(server_hints.HintBook):
+class RecordingHintBook(server_hints.HintBook):
     """A book whose messages are kept instead of sent."""
 
     def __init__(self) -> None:
@@ -46,8 +46,8 @@
     ]
 
 
-def test_every_scheduler_is_sent_that_a_server_is_leaving() -> None:
-    book = Book()
+def test_leaving_hint_is_sent_to_every_scheduler_once() -> None:
+    book = RecordingHintBook()
     book.observe(LEAVING, 1.0)
     hints = message.ServerHints("s0", 0, is_leaving=True)
     assert sorted(book.sent) == [(OURS, hints), (OTHER, hints)]
@@ -55,8 +55,8 @@
     assert len(book.sent) == 2
 
 
-def test_an_answer_that_began_earlier_does_not_take_leaving_back() -> None:
-    book = Book()
+def test_older_response_does_not_revoke_leaving() -> None:
+    book = RecordingHintBook()
     book.observe(LEAVING, 1.0)
     book.observe(server_hints.HeadReceived("r1", "s0", 0, owner=OURS), 1.1)
     assert (
@@ -65,16 +65,14 @@
     )
 
 
-def test_a_later_run_of_a_leaving_server_gets_work() -> None:
-    book = Book()
+def test_later_run_of_a_leaving_server_gets_requests() -> None:
+    book = RecordingHintBook()
     book.observe(LEAVING, 1.0)
     assert book.find_unusable_reason("s0", 1, 1.1) is None
 
 
-def test_a_leaving_server_that_an_older_store_brings_back_gets_no_work() -> (
-    None
-):
-    book = Book()
+def test_leaving_server_restored_by_an_older_store_gets_no_requests() -> None:
+    book = RecordingHintBook()
     book.observe(LEAVING, 1.0)
     book.discard_except(["other"], 2.0)
     assert (
@@ -86,7 +84,7 @@
     assert book.count_leaving() == 0
 
 
-def test_a_returned_grant_follows_the_hint_and_is_no_attempt(
+def test_returned_grant_is_sent_after_the_hint_and_counts_no_attempt(
     desk: Desk,
 ) -> None:
     desk.hear(attachment.Said(OURS, message.Grant("r1", "g", "s0", OURS)))
@@ -102,11 +100,11 @@
     assert ticket.tried == ()
 
 
-def test_a_returned_grant_fails_no_server_and_is_placed_elsewhere() -> None:
+def test_returned_grant_counts_no_failure_and_is_placed_elsewhere() -> None:
     owner = make_owner(servers=2)
-    asked = make_request()
-    request_id = asked.request.request_id
-    (first,) = list_grants(owner.receive("entry", asked, 0.0))
+    enqueue = make_request()
+    request_id = enqueue.request.request_id
+    (first,) = list_grants(owner.receive("entry", enqueue, 0.0))
     hints = message.ServerHints(first.backend, 0, is_leaving=True)
     assert not owner.receive("entry", hints, 0.1)
     decline = message.Decline(request_id, first.grant_id, waits=True)
@@ -118,7 +116,7 @@
 
 
 @pytest.mark.parametrize("later", [True, False])
-def test_a_leaving_server_s_places_are_gone_for_its_run(later: bool) -> None:
+def test_leaving_server_gets_no_grants_until_its_next_run(later: bool) -> None:
     owner = make_owner(servers=1)
     hints = message.ServerHints("s0", 0, is_leaving=True)
     owner.receive("entry", hints, 0.0)
@@ -133,7 +131,7 @@
     assert owner.fleet.has_usable is later
 
 
-def test_callers_are_refused_at_once_while_every_server_is_leaving() -> None:
+def test_requests_are_rejected_at_once_if_every_server_is_leaving() -> None:
     owner = make_owner(servers=2)
     for name in ("s0", "s1"):
         hints = message.ServerHints(name, 0, is_leaving=True)
@@ -155,10 +153,10 @@
     owner.receive(entry, hints, now)
 
 
-def test_a_pause_binds_the_vm_that_got_it_until_its_end() -> None:
-    book = Book()
-    asked = server_hints.HeadReceived("r0", "s0", 0, pause_s=3.0, owner=OURS)
-    book.observe(asked, 1.0)
+def test_pause_applies_to_the_vm_that_received_it_until_it_ends() -> None:
+    book = RecordingHintBook()
+    head = server_hints.HeadReceived("r0", "s0", 0, pause_s=3.0, owner=OURS)
+    book.observe(head, 1.0)
     assert book.sent[0][1] == message.ServerHints("s0", 0, pause_s=3.0)
     # A shorter one, an answer that began earlier and a lapsed record.
     shorter = server_hints.HeadReceived("r1", "s0", 0, pause_s=0.5, owner=OURS)
@@ -173,10 +171,10 @@
     assert book.find_unusable_reason("s0", 1, 2.0) is None
 
 
-def test_a_pause_is_no_longer_than_the_settings_allow() -> None:
-    book = Book()
-    asked = server_hints.HeadReceived("r0", "s0", 0, pause_s=3600.0, owner=OURS)
-    book.observe(asked, 1.0)
+def test_pause_is_capped_by_the_settings() -> None:
+    book = RecordingHintBook()
+    head = server_hints.HeadReceived("r0", "s0", 0, pause_s=3600.0, owner=OURS)
+    book.observe(head, 1.0)
     assert (
         book.find_unusable_reason("s0", 0, 60.9)
         is server_hints.UnusableReason.PAUSED
@@ -184,23 +182,23 @@
     assert book.find_unusable_reason("s0", 0, 61.1) is None
 
 
-def test_a_scheduler_that_comes_up_is_sent_what_is_left_of_a_pause() -> None:
-    book = Book()
-    asked = server_hints.HeadReceived("r0", "s0", 0, pause_s=3.0, owner=OURS)
-    book.observe(asked, 1.0)
+def test_new_scheduler_is_sent_the_remaining_pause() -> None:
+    book = RecordingHintBook()
+    head = server_hints.HeadReceived("r0", "s0", 0, pause_s=3.0, owner=OURS)
+    book.observe(head, 1.0)
     book.sent.clear()
     book.send_all(OTHER, 3.0)
     assert book.sent == [(OTHER, message.ServerHints("s0", 0, pause_s=1.0))]
 
 
-def test_only_the_entry_that_was_asked_pauses() -> None:
+def test_pause_applies_only_to_the_entry_that_received_it() -> None:
     owner = make_owner()
     pause(owner, "s0", 3.0)
     assert not list_grants(owner.receive("entry", make_request(), 0.1))
     assert list_grants(owner.receive("other", make_request(), 0.1))
 
 
-def test_requests_of_other_entries_are_not_held_up_by_a_pause() -> None:
+def test_pause_does_not_delay_requests_of_other_entries() -> None:
     # Of one customer, who is otherwise served in order.
     owner = make_owner()
     pause(owner, "s0", 3.0)
@@ -211,33 +209,33 @@
     assert [each.request_id for each in granted] == [lower.request.request_id]
 
 
-def test_what_waited_for_a_pause_returns_behind_one_trial() -> None:
+def test_requests_resume_after_one_probe_when_a_pause_ends() -> None:
     owner = make_owner()
     pause(owner, "s0", 3.0)
     for _ in range(10):
         owner.receive("entry", make_request(), 0.1)
     assert not list_grants(owner.tick(2.9))
-    (trial,) = list_grants(owner.tick(3.1))
+    (probe,) = list_grants(owner.tick(3.1))
     assert not list_grants(owner.tick(3.2))
-    first = message.FirstToken(trial.request_id, 0.05, None, 0)
+    first = message.FirstToken(probe.request_id, 0.05, None, 0)
     assert len(list_grants(owner.receive("entry", first, 3.3))) == 9
 
 
-def test_a_trial_that_is_turned_away_is_followed_by_another_one() -> None:
+def test_refused_probe_is_followed_by_another_one() -> None:
     owner = make_owner()
     pause(owner, "s0", 1.0)
     for _ in range(3):
         owner.receive("entry", make_request(), 0.1)
-    (trial,) = list_grants(owner.tick(1.1))
+    (probe,) = list_grants(owner.tick(1.1))
     pause(owner, "s0", 1.0, now=1.2)
-    ended = message.Ended(trial.request_id, 0, 0.0, False, refused=True)
+    ended = message.Ended(probe.request_id, 0, 0.0, False, refused=True)
     assert not list_grants(owner.receive("entry", ended, 1.2))
     assert not list_grants(owner.tick(2.1))
     assert len(list_grants(owner.tick(2.3))) == 1
     assert owner.fleet.backends["s0"].availability.failures == 0
 
 
-def test_a_later_run_of_a_paused_server_gets_work() -> None:
+def test_later_run_of_a_paused_server_gets_requests() -> None:
     owner = make_owner()
     pause(owner, "s0", 3.0)
     info = backend.BackendInfo("s0", 50, 10**9, 16)
@@ -247,7 +245,7 @@
     assert list_grants(owner.tick(0.2))
 
 
-def test_what_no_server_takes_in_time_is_refused_at_once() -> None:
+def test_request_is_rejected_at_once_if_all_pauses_outlast_its_wait() -> None:
     # Load pattern: every server of a service asks the same VMs for a pause.
     owner = make_owner(servers=2)
     for entry in ("entry", "other"):
@@ -263,7 +261,7 @@
     assert not owner.receive("entry", message.Enqueue(long), 0.2)
 
 
-def test_callers_return_soon_while_other_vms_may_send() -> None:
+def test_retry_after_is_short_while_other_vms_may_send() -> None:
     owner = make_owner()
     owner.receive("other", make_request(), 0.0)
     pause(owner, "s0", 3.0)
@@ -274,7 +272,7 @@
     assert reject.retry_after_s <= 1.0
 
 
-def test_a_new_shard_knows_the_pauses_of_its_vm_s_scheduler() -> None:
+def test_new_shard_gets_the_pauses_known_to_its_scheduler() -> None:
     book = observations.BackendObservations()
     book.record_hints(
         message.ServerHints("s0", 0, 2.0, pause_s=3.0), "entry", 0.0
@@ -289,7 +287,7 @@
     assert len(book.list_hints(4.0)) == 1
 
 
-def test_a_starved_request_holds_up_no_server_that_it_may_not_go_to() -> None:
+def test_starved_request_reserves_no_server_that_is_paused_for_it() -> None:
     # The only server open to the first request is full.
     owner = make_owner(servers=2)
     full = owner.fleet.backends["s1"]
@@ -308,7 +306,7 @@
     assert granted.request_id == starved.request.request_id
 
 
-def test_a_second_attempt_does_not_wait_for_a_server_that_is_leaving() -> None:
+def test_second_attempt_does_not_wait_for_a_leaving_server() -> None:
     owner = make_owner(servers=2)
     hints = message.ServerHints("s1", 0, is_leaving=True)
     owner.receive("entry", hints, 0.0)
@@ -321,17 +319,15 @@
     assert granted.backend == "s0"
 
 
-def test_a_good_trial_does_not_end_a_pause_that_was_asked_for_meanwhile() -> (
-    None
-):
+def test_successful_probe_does_not_end_a_pause_requested_meanwhile() -> None:
     owner = make_owner()
-    early, trial = make_request(), make_request()
+    early, probe = make_request(), make_request()
     assert list_grants(owner.receive("entry", early, 0.0))
     pause(owner, "s0", 1.0, now=0.1)
-    assert list_grants(owner.receive("entry", trial, 1.2))
+    assert list_grants(owner.receive("entry", probe, 1.2))
     # The earlier request is turned away only now.
     pause(owner, "s0", 3.0, now=1.3)
-    first = message.FirstToken(trial.request.request_id, 0.05, None, 0)
+    first = message.FirstToken(probe.request.request_id, 0.05, None, 0)
     owner.receive("entry", first, 1.4)
     assert not list_grants(owner.receive("entry", make_request(), 1.5))
     assert len(list_grants(owner.tick(4.4))) == 1
--- a/test/test_server_pause.py
+++ b/test/test_server_pause.py
@@ -10,20 +10,20 @@
 from test import callers, node
 
 VMS = 3
-FULL, OTHER = "i-0", "i-1"
-ASKED_S = 3.0
+PAUSING, OTHER = "i-0", "i-1"
+REQUESTED_PAUSE_S = 3.0
 
-REACTION_S = 0.5
+PROPAGATION_S = 0.5
 """Time from an answer that asks for a pause until it holds, in seconds."""
 
-ALLOWED = 2
+MAX_REQUESTS_IN_PAUSE = 2
 """Requests that a VM may send to a server in a pause."""
 
 WORK_S, SLOW_WORK_S = 0.01, 0.05
 """Work of the server that asks and of the slower other one, in seconds: the
 faster one is preferred as long as it may be."""
 
-PER_VM = 5
+CALLERS_PER_VM = 5
 """Callers of each VM at once."""
 
 LOAD_S = 8.0
@@ -35,23 +35,23 @@
         yield platform
 
 
-def turn_away(started: node.Platform, name: str, each: int = 1) -> None:
+def refuse_requests(started: node.Platform, name: str, each: int = 1) -> None:
     """Has a server turn one of so many requests away and ask for a pause."""
     started.set_faults(
         name,
         refuse=True,
         refuse_each=each,
-        pauses=[str(ASKED_S)],
+        pauses=[str(REQUESTED_PAUSE_S)],
         work_s=WORK_S,
     )
 
 
-def count_in_pauses(started: node.Platform, name: str) -> int:
+def get_max_requests_in_pause(started: node.Platform, name: str) -> int:
     """Returns the most requests that came from one VM in one pause."""
     arrived = callers.list_logged(started, name, "arrived")
     counts = [
         sum(
-            at + REACTION_S < later <= at + ASKED_S
+            at + PROPAGATION_S < later <= at + REQUESTED_PAUSE_S
             and other.partition(".")[0] == request_id.partition(".")[0]
             for later, other in arrived
         )
@@ -64,37 +64,37 @@
 @pytest.mark.parametrize(
     ("path", "each", "per_vm"),
     [
-        ("/safe/", 1, PER_VM),
-        ("/safe/", 3, PER_VM),
-        ("/once/", 3, PER_VM),
+        ("/safe/", 1, CALLERS_PER_VM),
+        ("/safe/", 3, CALLERS_PER_VM),
+        ("/once/", 3, CALLERS_PER_VM),
         # The other server's places are enough for so many.
         ("/stream/", 3, 2),
     ],
 )
-def test_a_server_that_asked_for_a_pause_is_not_flooded(
+def test_paused_server_gets_few_requests(
     started: node.Platform, path: str, each: int, per_vm: int
 ) -> None:
     with callers.Callers(started, path, per_vm) as load:
         started.set_faults(OTHER, work_s=SLOW_WORK_S)
-        turn_away(started, FULL, each)
+        refuse_requests(started, PAUSING, each)
         time.sleep(LOAD_S)
-    assert count_in_pauses(started, FULL) <= ALLOWED
+    assert get_max_requests_in_pause(started, PAUSING) <= MAX_REQUESTS_IN_PAUSE
     served = [each for each in load.asked if each.status == 200]
     assert len(served) >= 0.9 * len(load.asked)
 
 
-def test_servers_that_all_asked_for_a_pause_are_not_flooded(
+def test_servers_that_all_request_a_pause_get_few_requests(
     started: node.Platform,
 ) -> None:
-    with callers.Callers(started, "/safe/", PER_VM) as load:
-        turn_away(started, FULL, 3)
-        turn_away(started, OTHER, 3)
+    with callers.Callers(started, "/safe/", CALLERS_PER_VM) as load:
+        refuse_requests(started, PAUSING, 3)
+        refuse_requests(started, OTHER, 3)
         time.sleep(LOAD_S)
-        started.set_faults(FULL)
+        started.set_faults(PAUSING)
         started.set_faults(OTHER)
-        time.sleep(ASKED_S + 1.0)
-    assert count_in_pauses(started, FULL) <= ALLOWED
-    assert count_in_pauses(started, OTHER) <= ALLOWED
+        time.sleep(REQUESTED_PAUSE_S + 1.0)
+    assert get_max_requests_in_pause(started, PAUSING) <= MAX_REQUESTS_IN_PAUSE
+    assert get_max_requests_in_pause(started, OTHER) <= MAX_REQUESTS_IN_PAUSE
     latest = sorted(load.asked, key=lambda each: each.sent_at)[-5:]
     assert {each.status for each in latest} == {200}
     refused = [each for each in load.asked if each.status == 503]
@@ -102,17 +102,17 @@
     assert all("retry-after" in each.headers for each in refused)
 
 
-def test_a_pause_holds_after_the_owner_is_lost(
+def test_pause_holds_after_loss_of_the_owner(
     started: node.Platform,
 ) -> None:
-    with callers.Callers(started, "/safe/", PER_VM) as load:
+    with callers.Callers(started, "/safe/", CALLERS_PER_VM) as load:
         started.set_faults(OTHER, work_s=SLOW_WORK_S)
-        turn_away(started, FULL, 3)
+        refuse_requests(started, PAUSING, 3)
         time.sleep(LOAD_S / 2)
         for vm in ("vm-2", "vm-1"):
             started.kill_vm(vm)
             time.sleep(LOAD_S / 4)
-    assert count_in_pauses(started, FULL) <= ALLOWED
-    lasting = [each for each in load.asked if each.vm == "vm-0"]
-    served = [each for each in lasting if each.status == 200]
-    assert len(served) >= 0.9 * len(lasting)
+    assert get_max_requests_in_pause(started, PAUSING) <= MAX_REQUESTS_IN_PAUSE
+    remaining = [each for each in load.asked if each.vm == "vm-0"]
+    served = [each for each in remaining if each.status == 200]
+    assert len(served) >= 0.9 * len(remaining)
--- a/test/test_stopped_link.py
+++ b/test/test_stopped_link.py
@@ -23,7 +23,7 @@
 from ramptray.peer import link as peer_link
 from ramptray.peer import message as peer_message
 from ramptray.peer import server as peer_server
-from test.test_attachment import HELLO, Greeter
+from test.test_attachment import HELLO, EmptyViewServer
 
 pytestmark = pytest.mark.anyio
 
@@ -33,7 +33,7 @@
     return "asyncio"
 
 
-class Slow(Greeter):
+class Slow(EmptyViewServer):
     """Does not answer questions."""
 
     async def answer(self, question: Any) -> Any:
@@ -69,7 +69,7 @@
 async def test_a_stopped_link_leaves_the_tasks_beside_it_alone() -> None:
     send, receive = anyio.create_memory_object_stream[Any](100)
     beats = 0
-    async with serve(Greeter()) as (address, client):
+    async with serve(EmptyViewServer()) as (address, client):
         with anyio.fail_after(10.0):
             async with anyio.create_task_group() as tasks:
                 link = attachment.Attachment(
