--- a/test/hinting.py
+++ b/test/hinting.py
@@ -1,7 +1,7 @@
-"""Replicas that leave or ask for pauses during a soak, and whether VMs heed it.
+"""Leaving and pausing replicas during a soak, and checks that VMs obey them.
 
-Both bind the VM that got the answer, so each VM is judged by what it has been
-answered itself.
+A hint applies to the VM that received the response, so each VM is checked
+against the responses that it has received itself.
 """
 
 from __future__ import annotations
@@ -15,38 +15,38 @@
 from test import harm, node, verdict
 
 PAUSES_S = (0.8, 2.0, 3.0)
-"""Pauses that are asked for, in seconds."""
+"""Durations of requested pauses, in seconds."""
 
 REFUSAL_DURATION_S = (2.0, 6.0)
-"""Least and most time for which a replica turns requests away, in seconds."""
+"""Minimum and maximum time for which a replica refuses requests, in seconds."""
 
 REFUSAL_INTERVAL_S = (0.5, 2.5)
-"""Least and most time between two spells, in seconds."""
+"""Minimum and maximum time between two such periods, in seconds."""
 
 REFUSE_ONE_IN = (1, 2, 3)
-"""Of how many requests one is turned away in a spell."""
+"""One request in this many is refused in such a period."""
 
 PROPAGATION_S = 0.5
-"""Time from a replica's answer until the pause must be kept, in seconds."""
+"""Time from a replica's response until the pause must hold, in seconds."""
 
 MAX_REQUESTS_IN_PAUSE = 2
-"""Requests that a VM may send in a pause."""
+"""Requests that a VM may send to a replica during a pause."""
 
 LEAVING_DELAY_S = 2.0
-"""Time from an answer that says that its replica is leaving until requests of
-callers may not go there, in seconds."""
+"""Time after a response that says that its replica is leaving, in seconds; no
+request that its caller sends later may reach the replica."""
 
 LINK_FAULT_MARGIN_S = 0.5
-"""Time around a fault of a link in which answers may be lost, in seconds."""
+"""Time after a link fault in which responses may still be lost, in seconds."""
 
 
 class HintInjector:
-    """Has replicas turn requests away, and one of them leave.
+    """Makes replicas refuse requests, and one of them leave.
 
     Args:
-        fault_injector: Sets what replicas do.
-        rng: Chooses.
-        names: The replicas.
+        fault_injector: Sets the behaviour of replicas.
+        rng: Selects replicas, durations and hints.
+        names: The names of the replicas.
     """
 
     def __init__(
@@ -57,12 +57,12 @@
         self._names = names
 
     def run(self, is_over: Callable[[], bool]) -> None:
-        """Has hints given until the run is over."""
+        """Sets hints until the run is over."""
         leaving = self._rng.choice(self._names)
         while not is_over():
             name = self._rng.choice(self._names)
             if name == leaving:
-                # Until it starts again.
+                # Remains set until the replica restarts.
                 self._harm.give_hints(name, leaving=True)
             else:
                 self._harm.give_hints(
@@ -86,9 +86,11 @@
 def judge(
     started: node.Platform, record: verdict.Record
 ) -> list[promise.Promise]:
-    """Judges what replicas got after they had given a hint."""
-    pauses = promise.Promise("a VM keeps the pause that it is asked for")
-    leaving = promise.Promise("a VM sends nothing to what told it it leaves")
+    """Checks the requests that replicas received after they gave a hint."""
+    pauses = promise.Promise("a VM obeys a requested pause")
+    leaving = promise.Promise(
+        "a VM sends no request to a replica that said it is leaving"
+    )
     asks = {ask.name: ask for ask in record.asks}
     for name in started.replicas:
         arrivals = [
@@ -109,7 +111,7 @@
     asks: Mapping[str, verdict.Ask],
     arrivals: list[tuple[float, verdict.Ask]],
 ) -> None:
-    """Judges each pause that a replica asked for."""
+    """Checks each pause that a replica requested."""
     for line in _iterate_lines(started, name, "refused"):
         asked = asks.get(line["request_id"])
         if asked is None or not line["pauses"]:
@@ -133,7 +135,7 @@
     name: str,
     arrivals: list[tuple[float, verdict.Ask]],
 ) -> None:
-    """Judges each answer that said that its replica was leaving."""
+    """Checks each response that said that its replica was leaving."""
     notified = [ask for ask in record.asks if ask.leaving == name]
     for answer in notified:
         for at, ask in arrivals:
@@ -150,7 +152,7 @@
 def _has_fault(
     record: verdict.Record, names: set[str], begin: float, end: float
 ) -> bool:
-    """Returns whether a VM or replica had a fault in some time."""
+    """Returns whether a VM or replica had a fault in an interval."""
     return any(
         fault.began < end and fault.ended + LINK_FAULT_MARGIN_S > begin
         for fault in record.faults
--- a/test/test_attachment.py
+++ b/test/test_attachment.py
@@ -1,4 +1,4 @@
-"""A process's link to a scheduler that goes and comes back."""
+"""Connecting and reconnecting the link of a process to a scheduler."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class EmptyViewServer(peer_link.Servant):
-    """Answers each greeting with an empty view."""
+    """Responds to each message with an empty view."""
 
     def __init__(self) -> None:
         self.sessions: list[peer_link.Session] = []
@@ -54,7 +54,7 @@
 
 
 def make_tls(folder: pathlib.Path, name: str) -> settings.TlsSettings:
-    """Returns keys of a peer, signed by the folder's authority."""
+    """Returns the keys of a peer, signed by the authority in the folder."""
     run = testing.CliRunner().invoke
     if not (folder / "authority.key").exists():
         assert run(keys.group, ["authority", str(folder)]).exit_code == 0
@@ -93,7 +93,7 @@
 async def wait_up(
     events: memory.MemoryObjectReceiveStream[attachment.Event],
 ) -> None:
-    """Waits until a link is up; fails if that takes long."""
+    """Waits until a link is up; fails after LONG_S."""
     with anyio.fail_after(LONG_S):
         async for event in events:
             if isinstance(event, attachment.Up):
@@ -139,7 +139,7 @@
 
 
 class _EndedCall:
-    """A call of the library whose stream ended just before."""
+    """A gRPC call whose stream has already ended."""
 
     async def write(self, _: bytes) -> None:
         raise asyncio.InvalidStateError("RPC already finished.")
--- a/test/test_leaving_server.py
+++ b/test/test_leaving_server.py
@@ -1,4 +1,4 @@
-"""A server that says it is leaving gets nothing more from a VM that knows."""
+"""A VM sends no more requests to a server that told it that it is leaving."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 LEAVING, OTHER = "i-0", "i-1"
 
 LEAVING_DELAY_S = 2.0
-"""Time after an answer that says so until requests may not go there, in
-seconds; they count from when their callers sent them."""
+"""Time after a response with the leaving hint, in seconds; no request that its
+caller sends later may reach the server."""
 
 WORK_S, SLOW_WORK_S = 0.01, 0.05
-"""Work of the leaving server and of the slower other one, in seconds: the
-faster one is preferred as long as it may be."""
+"""Time a request takes on the leaving server and on the slower other one, in
+seconds; the faster server is preferred while requests may be sent to it."""
 
 LOAD_S = 6.0
 
@@ -32,7 +32,7 @@
 def list_late_requests(
     started: node.Platform, requests: list[callers.Asked]
 ) -> list[callers.Asked]:
-    """Returns the requests that reached the leaving server too late."""
+    """Returns the requests that reached the leaving server after the delay."""
     arrived = {
         request_id
         for _, request_id in callers.list_logged(started, LEAVING, "arrived")
@@ -52,7 +52,7 @@
 
 
 def set_leaving(started: node.Platform) -> None:
-    """Has a server say in its answers that it leaves; its record does not."""
+    """Makes a server send the leaving hint, while its record stays ready."""
     started.set_faults(LEAVING, leaving=True, work_s=WORK_S)
     started.set_faults(OTHER, work_s=SLOW_WORK_S)
 
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -1,4 +1,4 @@
-"""What entries and owners make of the hints of backend servers."""
+"""Handling of backend servers' hints by entries and shard owners."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     name_limit,
 )
 
-# Fixtures that are used here.
+# Imported fixtures.
 __all__ = ["anyio_backend", "desk"]
 
 LEAVING = server_hints.HeadReceived("r0", "s0", 0, is_leaving=True, owner=OURS)
 
 
 class RecordingHintBook(server_hints.HintBook):
-    """A book whose messages are kept instead of sent."""
+    """A hint book that records messages instead of sending them."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, message.ServerHints]] = []
@@ -120,7 +120,7 @@
     owner = make_owner(servers=1)
     hints = message.ServerHints("s0", 0, is_leaving=True)
     owner.receive("entry", hints, 0.0)
-    # Neither a later hint nor the record of a run takes it back.
+    # Neither a later hint nor a record of the same run revokes it.
     name_limit(owner, None)
     owner.fleet.set_state("s0", backend.BackendState.ACTIVE)
     info = backend.BackendInfo("s0", 50, 10**9, 16, run=1 if later else 0)
@@ -148,7 +148,7 @@
     now: float = 0.0,
     entry: str = "entry",
 ) -> None:
-    """Passes on to an owner that a server asked an entry for a pause."""
+    """Tells an owner that a server requested a pause from an entry."""
     hints = message.ServerHints(name, 0, pause_s=pause_s)
     owner.receive(entry, hints, now)
 
@@ -158,7 +158,7 @@
     head = server_hints.HeadReceived("r0", "s0", 0, pause_s=3.0, owner=OURS)
     book.observe(head, 1.0)
     assert book.sent[0][1] == message.ServerHints("s0", 0, pause_s=3.0)
-    # A shorter one, an answer that began earlier and a lapsed record.
+    # A shorter pause, an older response or a removed record does not end it.
     shorter = server_hints.HeadReceived("r1", "s0", 0, pause_s=0.5, owner=OURS)
     book.observe(shorter, 1.1)
     book.observe(server_hints.HeadReceived("r2", "s0", 0, owner=OURS), 1.2)
@@ -199,7 +199,7 @@
 
 
 def test_pause_does_not_delay_requests_of_other_entries() -> None:
-    # Of one customer, who is otherwise served in order.
+    # All requests are of one customer, which is otherwise served in order.
     owner = make_owner()
     pause(owner, "s0", 3.0)
     for _ in range(3):
@@ -246,7 +246,8 @@
 
 
 def test_request_is_rejected_at_once_if_all_pauses_outlast_its_wait() -> None:
-    # Load pattern: every server of a service asks the same VMs for a pause.
+    # Load pattern: every server of a service requests a pause from the same
+    # VMs.
     owner = make_owner(servers=2)
     for entry in ("entry", "other"):
         for name in ("s0", "s1"):
@@ -255,7 +256,7 @@
     short = message.Enqueue(msgspec.structs.replace(short.request, wait_s=1.0))
     owner.receive("other", make_request(), 0.1)
     (reject,) = list_rejects(owner.receive("entry", short, 0.2))
-    # No VM may send before.
+    # No VM may send earlier.
     assert reject.retry_after_s >= 2.8
     long = msgspec.structs.replace(make_request().request, wait_s=4.0)
     assert not owner.receive("entry", message.Enqueue(long), 0.2)
@@ -288,7 +289,7 @@
 
 
 def test_starved_request_reserves_no_server_that_is_paused_for_it() -> None:
-    # The only server open to the first request is full.
+    # The only server open to the starved request, s1, is full.
     owner = make_owner(servers=2)
     full = owner.fleet.backends["s1"]
     full.info = msgspec.structs.replace(full.info, max_running=1)
@@ -325,7 +326,7 @@
     assert list_grants(owner.receive("entry", early, 0.0))
     pause(owner, "s0", 1.0, now=0.1)
     assert list_grants(owner.receive("entry", probe, 1.2))
-    # The earlier request is turned away only now.
+    # The earlier request is refused only now, with a new pause.
     pause(owner, "s0", 3.0, now=1.3)
     first = message.FirstToken(probe.request.request_id, 0.05, None, 0)
     owner.receive("entry", first, 1.4)
--- a/test/test_server_pause.py
+++ b/test/test_server_pause.py
@@ -1,4 +1,4 @@
-"""A server that asks a VM for a pause gets next to nothing from it."""
+"""A VM sends almost nothing to a server that requested a pause from it."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 REQUESTED_PAUSE_S = 3.0
 
 PROPAGATION_S = 0.5
-"""Time from an answer that asks for a pause until it holds, in seconds."""
+"""Time from a response that requests a pause until it holds, in seconds."""
 
 MAX_REQUESTS_IN_PAUSE = 2
-"""Requests that a VM may send to a server in a pause."""
+"""Requests that a VM may send to a server during a pause."""
 
 WORK_S, SLOW_WORK_S = 0.01, 0.05
-"""Work of the server that asks and of the slower other one, in seconds: the
-faster one is preferred as long as it may be."""
+"""Time a request takes on the pausing server and on the slower other one, in
+seconds; the faster server is preferred while requests may be sent to it."""
 
 CALLERS_PER_VM = 5
-"""Callers of each VM at once."""
+"""Concurrent callers of each VM."""
 
 LOAD_S = 8.0
 
@@ -36,7 +36,7 @@
 
 
 def refuse_requests(started: node.Platform, name: str, each: int = 1) -> None:
-    """Has a server turn one of so many requests away and ask for a pause."""
+    """Makes a server refuse one in ``each`` requests and request a pause."""
     started.set_faults(
         name,
         refuse=True,
@@ -47,7 +47,7 @@
 
 
 def get_max_requests_in_pause(started: node.Platform, name: str) -> int:
-    """Returns the most requests that came from one VM in one pause."""
+    """Returns the largest number of requests from one VM in one pause."""
     arrived = callers.list_logged(started, name, "arrived")
     counts = [
         sum(
@@ -67,7 +67,7 @@
         ("/safe/", 1, CALLERS_PER_VM),
         ("/safe/", 3, CALLERS_PER_VM),
         ("/once/", 3, CALLERS_PER_VM),
-        # The other server's places are enough for so many.
+        # As many as the other server has slots for.
         ("/stream/", 3, 2),
     ],
 )
