--- a/test/test_gossip.py
+++ b/test/test_gossip.py
@@ -44,7 +44,7 @@
     client: link.PeerClient | None = None,
     seed: int = 1,
 ) -> gossip.Gossiper:
-    async def take_newer(address: str, generation: int) -> None:
+    async def ignore_newer(address: str, generation: int) -> None:
         """Fetches nothing."""
 
     return gossip.Gossiper(
@@ -54,7 +54,7 @@
         random.Random(seed),
         lambda view: None,
         lambda lowest: None,
-        take_newer,
+        ignore_newer,
         bundle_source,
     )
 
@@ -114,7 +114,7 @@
         super().__init__(Peers(set()), 1.0)
         self.ends = {"s": 5}
         self.watching: bool | None = None
-        self.on_news: Callable[[], None] = _do_nothing
+        self.on_advance: Callable[[], None] = _do_nothing
 
     @property
     def in_force(self) -> acceptance.InForce | None:
@@ -142,12 +142,12 @@
         """See the base class."""
         self.watching = watching
 
-    def set_on_stream_advance(self, on_news: Callable[[], None]) -> None:
+    def set_on_stream_advance(self, on_advance: Callable[[], None]) -> None:
         """See the base class."""
-        self.on_news = on_news
+        self.on_advance = on_advance
 
     def accept_from_peer(
-        self, address: str, told: peer_message.FetchedBundle
+        self, address: str, answer: peer_message.FetchedBundle
     ) -> None:
         """See the base class."""
 
@@ -173,7 +173,7 @@
         if ends["s"] > self.ends["s"]:
             self.ends = dict(ends)
             self.updated_at = steadyclock.read()
-            self.on_news()
+            self.on_advance()
 
 
 class Network(Peers):
@@ -185,13 +185,13 @@
 
     async def ask(self, address: str, question: Any, timeout_s: float) -> Any:
         """See the base class."""
-        await anyio.sleep(HOP_S)
+        await anyio.sleep(HOP_DELAY_S)
         return self.peers[address].receive(question)
 
 
-HOP_S = 0.003
+HOP_DELAY_S = 0.003
 MEMBERS = 120
-SOON_S = 0.3
+SPREAD_LIMIT_S = 0.3
 
 
 def test_stream_ends_reach_a_large_deployment_at_once(
@@ -220,8 +220,8 @@
             await anyio.sleep(0.05)
             for name in names[: source.WATCHER_COUNT]:
                 sources[name].ends = {"s": 6}
-                sources[name].on_news()
-            await anyio.sleep(SOON_S)
+                sources[name].on_advance()
+            await anyio.sleep(SPREAD_LIMIT_S)
             tasks.cancel_scope.cancel()
 
     virtualtime.run(run)
@@ -289,8 +289,8 @@
 
 def test_a_scheduler_fetches_the_full_member_list() -> None:
     gossiper = make_gossiper([])
-    asked = gossiper._make_probe()
-    assert asked.wanted_after == ""
+    probe = gossiper._make_probe()
+    assert probe.wanted_after == ""
     names = sorted(f"m{n}" for n in range(60))
     others = [membership.Member(n, "z", f"{n}:1", 1) for n in names]
     peer = make_gossiper([], vm="l")
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -12,11 +12,11 @@
 from ramptray.scheduler import observations
 from test.test_dispatcher import OTHER, OURS, Desk, anyio_backend, desk
 from test.test_rate_limit import (
+    announce_limit,
     list_grants,
     list_rejects,
     make_owner,
     make_request,
-    name_limit,
 )
 
 # Imported fixtures.
@@ -121,7 +121,7 @@
     hints = message.ServerHints("s0", 0, is_leaving=True)
     owner.receive("entry", hints, 0.0)
     # Neither a later hint nor a record of the same run revokes it.
-    name_limit(owner, None)
+    announce_limit(owner, None)
     owner.fleet.set_state("s0", backend.BackendState.ACTIVE)
     info = backend.BackendInfo("s0", 50, 10**9, 16, run=1 if later else 0)
     owner.fleet.configure([info], "")
@@ -284,7 +284,7 @@
     known = owner.fleet.backends["s0"]
     assert known.limit_per_s == 2.0
     assert known.pauses.get_remaining_s("entry", 1.0) == 2.0
-    assert known.pauses.allows("other", 1.0)
+    assert known.pauses.may_send("other", 1.0)
     assert len(book.list_hints(4.0)) == 1
 
 
