--- a/ramptray/controller/main.py
+++ b/ramptray/controller/main.py
@@ -28,14 +28,14 @@
     """Passes messages between the scheduler, the lease and the reconciler."""
 
     def __init__(self, settings: ControllerSettings) -> None:
-        equipment = runtime.make_runtime("controller", settings)
+        process_runtime = runtime.make_runtime("controller", settings)
         self._settings = settings
-        self._timeline = equipment.timeline
+        self._timeline = process_runtime.timeline
         self._learner = acceptance.Learner()
         times = lease.LeaseTimes(LEASE_TERM_S, settings.order_timeout_s)
         # A random suffix makes a restarted controller a different holder.
         state = lease.Lease(
-            f"{equipment.name}/{secrets.token_hex(4)}",
+            f"{process_runtime.name}/{secrets.token_hex(4)}",
             times,
             steadyclock.read(),
         )
@@ -53,8 +53,8 @@
         ](INBOX_CAPACITY)
         self.link = attachment.Attachment(
             settings.scheduler,
-            peer_message.Hello(equipment.name, settings.vm, "controller"),
-            equipment.client,
+            peer_message.Hello(process_runtime.name, settings.vm, "controller"),
+            process_runtime.client,
             send.send_nowait,
         )
 
--- a/ramptray/scheduler/main.py
+++ b/ramptray/scheduler/main.py
@@ -35,8 +35,8 @@
 
 async def main(settings: SchedulerSettings, stop: process.Stop) -> None:
     """Serves until a stop is requested, then leaves the zone gracefully."""
-    equipment = runtime.make_runtime("scheduler", settings)
-    client, events = equipment.client, equipment.timeline
+    process_runtime = runtime.make_runtime("scheduler", settings)
+    client, events = process_runtime.client, process_runtime.timeline
     log = log_client.HttpLog(settings.platform, settings.vm)
     me = membership.Member(
         settings.vm, settings.zone, settings.listen, int(time.time())
@@ -81,7 +81,7 @@
     )
     server = peer_server.PeerServer(
         handler.SchedulerHandler(owner, gossiper, bundle_follower, events),
-        equipment.clock,
+        process_runtime.clock,
         settings.tls,
     )
     try:
