--- a/ramptray/controller/main.py
+++ b/ramptray/controller/main.py
@@ -21,7 +21,7 @@
 
 INBOX_CAPACITY = 1000
 LEASE_TERM_S = 6.0
-"""How long a lease record holds after it was sent, in seconds."""
+"""How long a holder keeps the lease after it sent a record, in seconds."""
 
 
 class Controller:
