--- a/bench/replay/world.py
+++ b/bench/replay/world.py
@@ -55,7 +55,7 @@
             call.deadline - self._world.timer.now,
             limit_tokens=call.prompt_tokens + call.output_tokens,
             objective_s=kind.objective_s,
-            wait_s=kind.patience_s * service.WAIT_PART,
+            wait_s=kind.patience_s * service.MAX_WAIT_FRACTION,
             max_gap_s=kind.max_gap_s,
             event_tokens=self._world.event_tokens,
         )
--- a/ramptray/node/main.py
+++ b/ramptray/node/main.py
@@ -30,7 +30,7 @@
 from ramptray.relay import client as relay_client
 from ramptray.relay import server as relay_server
 from ramptray.relay import service
-from ramptray.relay import stream as streams
+from ramptray.relay import socket_stream as streams
 from ramptray.scheduler import (
     block_sync,
     event,
@@ -175,14 +175,14 @@
                 tasks.start_soon(self._gossiper.probe_now, address)
 
             self._desk.on_doubt = check
-            self._desk.network.on_silent_zone = self._relay_client.distrust
+            self._desk.network.on_silent_zone = self._relay_client.expire_idle
 
-            def end_former_runs(backend: str, run: int) -> None:
+            def close_former_runs(backend: str, run: int) -> None:
                 tasks.start_soon(
-                    self._relay_client.end_former_runs, backend, run
+                    self._relay_client.close_former_runs, backend, run
                 )
 
-            self._desk.network.on_new_run = end_former_runs
+            self._desk.network.on_new_run = close_former_runs
             await self._serve(tasks, stop)
             await peers.stop()
             await self._equipment.client.close()
@@ -222,7 +222,7 @@
         with anyio.move_on_after(self._tuned.lame_duck_s):
             await self._gossiper.leave()
             await anyio.sleep(self._tuned.lame_duck_s)
-        self._relay.refuse_new()
+        self._relay.refuse_new_requests()
         while self._relay.state.active and steadyclock.read() < ends_at:
             await anyio.sleep(0.05)
         LOG.info("stopped", extra={"active": self._relay.state.active})
@@ -289,7 +289,7 @@
 
         Connections were likely given up at their other ends.
         """
-        self._relay_client.distrust_all()
+        self._relay_client.expire_all_idle()
         self._follower.wake()
 
     async def _watch_reload(self) -> None:
--- a/ramptray/node/probe.py
+++ b/ramptray/node/probe.py
@@ -12,7 +12,7 @@
 import h11
 import msgspec
 
-from ramptray.relay import stream as streams
+from ramptray.relay import socket_stream as streams
 
 IDLE_S = 30.0
 """How long a probe's connection may be idle, in seconds."""
@@ -60,7 +60,7 @@
         ):
             pass  # Whoever asked has gone, or does not speak HTTP.
         finally:
-            stream.finish()
+            stream.flush_and_close()
 
     async def _serve_one(
         self, http: h11.Connection, stream: streams.SocketStream
--- a/ramptray/platform/header.py
+++ b/ramptray/platform/header.py
@@ -10,7 +10,7 @@
 
 from result import Err, Ok, Result
 
-from ramptray.relay import dialect, httpfield, message
+from ramptray.relay import dialect, message, response_headers
 
 LOG = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
 this VM."""
 
 _LEAVING_VALUE = b"1"
-_ANSWER_NAMES = httpfield.COMMON | {
+_ANSWER_NAMES = response_headers.STANDARD_RESPONSE_HEADERS | {
     ID,
     LEAVING,
     LIMIT,
@@ -115,15 +115,17 @@
         self.invalid: collections.Counter[str] = collections.Counter()
         self._unknown: set[bytes] = set()
 
-    def read_request(
-        self, head: message.Head
-    ) -> Result[message.CallerRequest, message.Mistake]:
+    def parse_request(
+        self, head: message.RequestHead
+    ) -> Result[message.CallerRequest, message.InvalidRequest]:
         """See the base class."""
         names = [name.lower() for name, _ in head.headers]
         if b"transfer-encoding" in names and b"content-length" in names:
-            return Err(message.Mistake(400, "two lengths of the body"))
+            return Err(message.InvalidRequest(400, "two lengths of the body"))
         if names.count(ID) != 1:
-            return Err(message.Mistake(400, "x-request-id: exactly one wanted"))
+            return Err(
+                message.InvalidRequest(400, "x-request-id: exactly one wanted")
+            )
         values = {name.lower(): value for name, value in head.headers}
         prompt, output = _read_sizes(values.get(_SIZES))
         prefix, prefix_tokens = _read_prefix(
@@ -164,18 +166,18 @@
             headers.append((b"Last-Event-Id", last))
         return headers
 
-    def read_answer(
+    def parse_response_head(
         self, status: int, headers: message.Headers
-    ) -> message.AnswerHead:
+    ) -> message.ResponseHead:
         """See the base class."""
         values = {name.lower(): value for name, value in headers}
         self._note_unknown(values.keys(), status)
-        return message.AnswerHead(
+        return message.ResponseHead(
             status=status,
             headers=_leave_out(headers, frozenset({NOT_RUN})),
             request_id=_read_text(values.get(ID)),
             not_run=NOT_RUN in values or status == _MISDIRECTED,
-            idle_s=_read_keep_alive(values.get(_KEEP_ALIVE, b"")),
+            idle_timeout_s=_read_keep_alive(values.get(_KEEP_ALIVE, b"")),
             limit_per_s=self._read_decimal(headers, LIMIT),
             is_leaving=LEAVING in values and self._read_leaving(headers),
             pause_s=(
--- a/ramptray/relay/presence.py
+++ b/ramptray/relay/backend_probe.py
@@ -7,31 +7,31 @@
 
 import anyio
 
-LOOK_S = 0.06
+CONNECT_TIMEOUT_S = 0.06
 """How long a look may take, in seconds: an address where nothing listens says
 so within a round trip of some milliseconds, on a slow VM some ten."""
 
 
-CLOSING_S = 0.02
+CLOSE_WATCH_S = 0.02
 """How long a new connection is watched, in seconds: of a program that ends the
 kernel closes one socket after the other, perhaps the listening one last."""
 
 
-class Presence(enum.Enum):
+class ProbeResult(enum.Enum):
     """What a new connection says of a backend server.
 
     Attributes:
         GONE: Nothing listens at its address: its program has ended.
-        THERE: It takes connections.
+        LISTENING: It takes connections.
         SILENT: It says nothing: it, its machine or the way there is lost.
     """
 
     GONE = "gone"
-    THERE = "there"
+    LISTENING = "there"
     SILENT = "silent"
 
 
-async def look(address: str) -> Presence:
+async def probe_backend(address: str) -> ProbeResult:
     """Opens a connection to a backend server and closes it again.
 
     A reset, a fault of the network and a program that has ended look alike on
@@ -43,32 +43,32 @@
     seen = await _try_to_connect(address)
     if seen is None:
         seen = await _try_to_connect(address)
-    return seen or Presence.SILENT
+    return seen or ProbeResult.SILENT
 
 
-async def _try_to_connect(address: str) -> Presence | None:
+async def _try_to_connect(address: str) -> ProbeResult | None:
     """Returns what a connection says; None where it was closed at once."""
     host, _, port = address.rpartition(":")
     try:
-        with anyio.fail_after(LOOK_S):
+        with anyio.fail_after(CONNECT_TIMEOUT_S):
             stream = await anyio.connect_tcp(host, int(port))
     except (TimeoutError, socket.gaierror):
-        return Presence.SILENT
+        return ProbeResult.SILENT
     except OSError as error:
-        return _judge(error)
+        return _classify_error(error)
     try:
-        with anyio.move_on_after(CLOSING_S):
+        with anyio.move_on_after(CLOSE_WATCH_S):
             await stream.receive(1)
     except (anyio.EndOfStream, anyio.BrokenResourceError):
         return None
     finally:
         await anyio.aclose_forcefully(stream)
-    return Presence.THERE
+    return ProbeResult.LISTENING
 
 
-def _judge(error: OSError) -> Presence:
+def _classify_error(error: OSError) -> ProbeResult:
     """Returns what a failed connection says; anyio hides the cause in it."""
     causes = [error, error.__cause__, error.__context__]
     if any(isinstance(cause, ConnectionRefusedError) for cause in causes):
-        return Presence.GONE
-    return Presence.SILENT
+        return ProbeResult.GONE
+    return ProbeResult.SILENT
--- a/ramptray/relay/client.py
+++ b/ramptray/relay/client.py
@@ -43,24 +43,24 @@
         self._idle: dict[str, list[connections.Connection]] = (
             collections.defaultdict(list)
         )
-        self._lent: set[connections.Connection] = set()
+        self._borrowed: set[connections.Connection] = set()
         self._hung_at: dict[str, float] = {}
 
     @contextlib.asynccontextmanager
-    async def use(
-        self, target: connections.Target, runs_once: bool
+    async def borrow(
+        self, target: connections.Target, not_repeatable: bool
     ) -> AsyncIterator[connections.Connection]:
         """Lends a connection; it is kept afterwards if it is still clean.
 
         Args:
             target: The backend server.
-            runs_once: Whether the request may not be sent a second time.
+            not_repeatable: Whether the request may not be sent a second time.
 
         Raises:
             NotSentError: No connection could be opened.
         """
-        connection = await self._take(target, runs_once)
-        self._lent.add(connection)
+        connection = await self._checkout(target, not_repeatable)
+        self._borrowed.add(connection)
         kept = False
         try:
             yield connection
@@ -69,16 +69,16 @@
             self._note_hang(target, steadyclock.read())
             raise
         finally:
-            self._lent.discard(connection)
+            self._borrowed.discard(connection)
             if kept:
-                connection.begin_next()
+                connection.start_next_cycle()
                 connection.idle_since = steadyclock.read()
                 self._idle[target.address].append(connection)
             else:
                 with anyio.CancelScope(shield=True):
                     await connection.close()
 
-    async def end_former_runs(self, backend: str, run: int) -> None:
+    async def close_former_runs(self, backend: str, run: int) -> None:
         """Closes what leads to earlier runs of a backend server.
 
         A run that lost its power says nothing: requests at work there would be
@@ -89,13 +89,13 @@
             connection
             for connection in (
                 *itertools.chain(*self._idle.values()),
-                *self._lent,
+                *self._borrowed,
             )
-            if connection.target.is_former(now)
+            if connection.target.is_other_run(now)
         ]
         for connection in former:
             # Idle ones are not lent again; what is lent breaks for its user.
-            connection.idle_s = 0.0
+            connection.idle_timeout_s = 0.0
             await connection.close()
 
     async def run(self) -> None:
@@ -104,7 +104,7 @@
             await anyio.sleep(connections.IDLE_MARGIN_S)
             await self.close_idle(steadyclock.read())
 
-    def distrust(self, addresses: Iterable[str]) -> None:
+    def expire_idle(self, addresses: Iterable[str]) -> None:
         """Lends no idle connection to these backend servers any more.
 
         A connection from before a cut takes a request and says nothing, while
@@ -112,11 +112,11 @@
         """
         for address in addresses:
             for connection in self._idle[address]:
-                connection.idle_s = 0.0
+                connection.idle_timeout_s = 0.0
 
-    def distrust_all(self) -> None:
+    def expire_all_idle(self) -> None:
         """Lends no idle connection any more."""
-        self.distrust(list(self._idle))
+        self.expire_idle(list(self._idle))
 
     def _note_hang(self, target: connections.Target, now: float) -> None:
         """Distrusts idle connections beside one on which nothing came.
@@ -128,7 +128,7 @@
         hung = {a: at for a, at in self._hung_at.items() if now - at < HUNG_S}
         self._hung_at = hung
         many = len(hung) >= HUNG_TOGETHER
-        self.distrust(list(self._idle) if many else [target.address])
+        self.expire_idle(list(self._idle) if many else [target.address])
 
     async def probe(self, url: str) -> bool:
         """Returns whether there is a way to a backend server.
@@ -147,26 +147,26 @@
     async def close_idle(self, now: float) -> None:
         """Closes the connections that are idle for too long."""
         for idle in list(self._idle.values()):
-            old = [c for c in idle if now - c.idle_since >= c.idle_s]
+            old = [c for c in idle if now - c.idle_since >= c.idle_timeout_s]
             # The list stays the same one: others may be taking from it.
             for connection in old:
                 idle.remove(connection)
             for connection in old:
                 await connection.close()
 
-    async def _take(
-        self, target: connections.Target, runs_once: bool
+    async def _checkout(
+        self, target: connections.Target, not_repeatable: bool
     ) -> connections.Connection:
         now = steadyclock.read()
         idle = self._idle[target.address]
         while idle:
             connection = idle.pop()
-            longest = connection.idle_s
-            if runs_once:
+            longest = connection.idle_timeout_s
+            if not_repeatable:
                 longest = min(longest, ONCE_IDLE_S)
-            if connection.target.is_former(target):
+            if connection.target.is_other_run(target):
                 longest = 0.0
-            if now - connection.idle_since < longest and connection.is_quiet():
+            if now - connection.idle_since < longest and connection.is_usable():
                 self.counters.reused += 1
                 connection.target = target
                 return connection
--- a/ramptray/relay/connection.py
+++ b/ramptray/relay/connection.py
@@ -13,7 +13,7 @@
 
 from ramptray.relay import dialect as dialects
 from ramptray.relay import message
-from ramptray.relay import stream as streams
+from ramptray.relay import socket_stream as streams
 
 LOG = logging.getLogger(__name__)
 
@@ -69,7 +69,7 @@
     backend: str = ""
     run: int = 0
 
-    def is_former(self, other: Target) -> bool:
+    def is_other_run(self, other: Target) -> bool:
         """Returns whether this is another run of the same backend server."""
         return self.backend == other.backend and self.run != other.run
 
@@ -90,7 +90,7 @@
         self.target = target
         self.address = target.address
         self.idle_since = 0.0
-        self.idle_s = IDLE_S
+        self.idle_timeout_s = IDLE_S
         self._stream = stream
         self._dialect = dialect
         self._http = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
@@ -108,13 +108,13 @@
             and not http.trailing_data[0]
         )
 
-    def is_quiet(self) -> bool:
+    def is_usable(self) -> bool:
         """Returns whether nothing has arrived while the connection was idle.
 
         Bytes that nobody asked for, an end or an error make it useless.
         """
         raw = self._stream.get_socket()
-        if raw is None or not self._stream.is_quiet:
+        if raw is None or not self._stream.is_open_and_empty:
             return False
         poll = select.poll()
         poll.register(raw.fileno(), select.POLLIN | select.POLLHUP)
@@ -152,7 +152,7 @@
 
     async def read_head(
         self, request_id: str, wait_s: float | None = None
-    ) -> message.AnswerHead:
+    ) -> message.ResponseHead:
         """Returns the head of the answer to this request.
 
         Answers to other requests that come in its place are skipped.
@@ -171,12 +171,14 @@
                 event = await self._next_event(wait_s)
             if not isinstance(event, h11.Response):
                 raise BrokenError(f"{self.address}: no answer's head")
-            head = self._dialect.read_answer(
+            head = self._dialect.parse_response_head(
                 event.status_code, list(event.headers.raw_items())
             )
             if head.request_id in (None, request_id):
-                if head.idle_s is not None:
-                    self.idle_s = max(0.0, head.idle_s - IDLE_MARGIN_S)
+                if head.idle_timeout_s is not None:
+                    self.idle_timeout_s = max(
+                        0.0, head.idle_timeout_s - IDLE_MARGIN_S
+                    )
                 return head
             await self._skip_surplus(head)
         raise BrokenError(f"{self.address}: only answers to other requests")
@@ -220,11 +222,11 @@
         """Closes the connection at once."""
         self._stream.close()
 
-    def begin_next(self) -> None:
+    def start_next_cycle(self) -> None:
         """Makes ready for the next request."""
         self._http.start_next_cycle()
 
-    async def _skip_surplus(self, head: message.AnswerHead) -> None:
+    async def _skip_surplus(self, head: message.ResponseHead) -> None:
         """Reads an answer to another request to its end, and starts anew."""
         LOG.info(
             "skipped an answer to another request",
--- a/ramptray/relay/dialect.py
+++ b/ramptray/relay/dialect.py
@@ -13,9 +13,9 @@
     """Decodes callers' requests and backend servers' answers."""
 
     @abc.abstractmethod
-    def read_request(
-        self, head: message.Head
-    ) -> Result[message.CallerRequest, message.Mistake]:
+    def parse_request(
+        self, head: message.RequestHead
+    ) -> Result[message.CallerRequest, message.InvalidRequest]:
         """Returns a caller's request, its body still empty."""
 
     @abc.abstractmethod
@@ -25,9 +25,9 @@
         """Returns the headers of one attempt, but for its body's length."""
 
     @abc.abstractmethod
-    def read_answer(
+    def parse_response_head(
         self, status: int, headers: message.Headers
-    ) -> message.AnswerHead:
+    ) -> message.ResponseHead:
         """Returns the decoded head of a backend server's answer."""
 
     @abc.abstractmethod
--- a/ramptray/relay/event.py
+++ b/ramptray/relay/event.py
@@ -37,7 +37,7 @@
             self.last_id = ids[-1].decode("latin-1")
         return whole
 
-    def take_rest(self) -> bytes:
+    def take_remainder(self) -> bytes:
         """Returns what follows the last whole event."""
         rest, self._rest = self._rest, b""
         return rest
--- a/ramptray/relay/exchange.py
+++ b/ramptray/relay/exchange.py
@@ -16,9 +16,9 @@
 from ramptray.core import request
 from ramptray.entry import dispatcher, server_hints
 from ramptray.entry import ticket as tickets
+from ramptray.relay import backend_probe, event, message, refusal
 from ramptray.relay import client as relay_client
 from ramptray.relay import connection as connections
-from ramptray.relay import event, message, presence, refusal
 
 MAX_HELD_BYTES = 256 * 1024
 """Largest answer that is read whole before any of it is passed on, so that a
@@ -42,16 +42,18 @@
 
 SERVER_ERROR = 500
 OK_STATUSES = range(200, 300)
-_GONE = presence.Presence.GONE.value
+_GONE = backend_probe.ProbeResult.GONE.value
 
 ReadT = TypeVar("ReadT")
 
 
-class Reply(abc.ABC):
+class ResponseWriter(abc.ABC):
     """The way back to the caller."""
 
     @abc.abstractmethod
-    async def start(self, head: message.AnswerHead, length: int | None) -> None:
+    async def start(
+        self, head: message.ResponseHead, length: int | None
+    ) -> None:
         """Sends the head of a backend server's answer.
 
         Args:
@@ -76,7 +78,7 @@
         """Cuts the answer, so that it cannot be taken for a whole one."""
 
 
-class Order(msgspec.Struct, frozen=True):
+class RoutedRequest(msgspec.Struct, frozen=True):
     """What is to be served.
 
     Attributes:
@@ -109,22 +111,22 @@
 
     def __init__(
         self,
-        order: Order,
+        order: RoutedRequest,
         desk: dispatcher.Dispatcher,
         client: relay_client.RelayClient,
-        reply: Reply,
+        writer: ResponseWriter,
     ) -> None:
         self.outcome = ""
-        self.first_s: float | None = None
+        self.first_event_s: float | None = None
         self._order = order
         self._desk = desk
         self._client = client
-        self._reply = reply
+        self._writer = writer
         self._began = steadyclock.read()
         self._deadline = self._began + order.timeout_s
         self._ticket = desk.submit(order.info, None)
         self._started = False
-        self._own_failure: message.Answer | None = None
+        self._own_failure: message.Response | None = None
         self._splitter = event.EventSplitter()
         self._sent_at = 0.0
         # Of the present attempt: when its answer began, after how many events.
@@ -154,12 +156,12 @@
         if finish.outcome is core_message.Outcome.COMPLETE:
             return
         if self._started:
-            await self._reply.abort()
+            await self._writer.abort()
         elif self._own_failure is not None:
             # What the backend server answered says more than a refusal.
             await self._pass_whole(self._own_failure)
         else:
-            await self._reply.refuse(refusal.make_refusal(finish))
+            await self._writer.refuse(refusal.make_refusal(finish))
 
     async def _attempt(self, grant: core_message.Grant) -> None:
         target = self._find_target(grant)
@@ -198,7 +200,7 @@
         after_s = steadyclock.read() - self._sent_at
         seen = ""
         if not isinstance(error, connections.HungError):
-            seen = (await presence.look(target.address)).value
+            seen = (await backend_probe.probe_backend(target.address)).value
         return tickets.Fault(
             str(error),
             seen,
@@ -208,7 +210,7 @@
 
     async def _read_head(
         self, connection: connections.Connection
-    ) -> message.AnswerHead:
+    ) -> message.ResponseHead:
         """Waits for the answer's head, but not for long if others may try.
 
         A backend server that hangs says nothing.  What may run only once has
@@ -252,8 +254,8 @@
         self, target: connections.Target, grant: core_message.Grant
     ) -> None:
         """Sends the request to one backend server and passes its answer on."""
-        runs_once = not self._order.info.repeatable
-        async with self._client.use(target, runs_once) as connection:
+        not_repeatable = not self._order.info.repeatable
+        async with self._client.borrow(target, not_repeatable) as connection:
             # An answer may have said something while it was opened.
             if reason := self._find_unusable_reason(target):
                 raise _UnusableServerError(reason)
@@ -282,7 +284,7 @@
             await self._take_answer(connection, head)
 
     async def _take_answer(
-        self, connection: connections.Connection, head: message.AnswerHead
+        self, connection: connections.Connection, head: message.ResponseHead
     ) -> None:
         if head.not_run:
             await connection.read_body()
@@ -293,7 +295,7 @@
             await self._pass_stream(connection, head)
             return
         body = await connection.read_body()
-        answer = message.Answer(head, body)
+        answer = message.Response(head, body)
         if self._started:
             self._fail(False, core_message.Reason.STREAM_BROKEN)
         elif head.status >= SERVER_ERROR and self._order.info.repeatable:
@@ -304,13 +306,13 @@
             await self._pass_whole(answer)
             self._complete(head.status)
 
-    async def _pass_whole(self, answer: message.Answer) -> None:
-        await self._reply.start(answer.head, len(answer.body))
-        await self._reply.write(answer.body)
-        await self._reply.finish()
+    async def _pass_whole(self, answer: message.Response) -> None:
+        await self._writer.start(answer.head, len(answer.body))
+        await self._writer.write(answer.body)
+        await self._writer.finish()
 
     async def _pass_stream(
-        self, connection: connections.Connection, head: message.AnswerHead
+        self, connection: connections.Connection, head: message.ResponseHead
     ) -> None:
         """Passes each event on as it comes."""
         while (data := await self._read_part(connection)) is not None:
@@ -319,11 +321,11 @@
                 continue
             self._note_first()
             await self._start_once(head)
-            await self._reply.write(whole)
+            await self._writer.write(whole)
         await self._start_once(head)
-        if rest := self._splitter.take_rest():
-            await self._reply.write(rest)
-        await self._reply.finish()
+        if rest := self._splitter.take_remainder():
+            await self._writer.write(rest)
+        await self._writer.finish()
         self._complete(head.status)
 
     async def _read_part(
@@ -346,10 +348,10 @@
         gap_s = order.route.max_gap_s
         return None if gap_s is None else max(MIN_HANG_GAP_S, gap_s * HANG_GAPS)
 
-    async def _start_once(self, head: message.AnswerHead) -> None:
+    async def _start_once(self, head: message.ResponseHead) -> None:
         if not self._started:
             self._started = True
-            await self._reply.start(head, None)
+            await self._writer.start(head, None)
 
     @property
     def _request_id(self) -> str:
@@ -377,8 +379,8 @@
         if self._begun_at is not None:
             return
         now = self._begun_at = steadyclock.read()
-        if self.first_s is None:
-            self.first_s = now - self._began
+        if self.first_event_s is None:
+            self.first_event_s = now - self._began
         first = core_message.FirstToken(
             self._request_id,
             now - self._sent_at,
@@ -408,7 +410,7 @@
             fault: How the backend server broke off or hung, if it did.
             failed: Whether it answered with a failure of its own.
         """
-        self._splitter.take_rest()
+        self._splitter.take_remainder()
         ended = msgspec.structs.replace(
             self._make_ended(False),
             broken=fault is not None,
@@ -439,4 +441,4 @@
         )
 
 
-MakeExchange = Callable[[Order, Reply], Exchange]
+MakeExchange = Callable[[RoutedRequest, ResponseWriter], Exchange]
--- a/ramptray/relay/message.py
+++ b/ramptray/relay/message.py
@@ -7,7 +7,7 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class Head(msgspec.Struct, frozen=True):
+class RequestHead(msgspec.Struct, frozen=True):
     """The head of an HTTP request as it arrived."""
 
     method: bytes
@@ -51,7 +51,7 @@
     body: bytes = b""
 
 
-class Mistake(msgspec.Struct, frozen=True):
+class InvalidRequest(msgspec.Struct, frozen=True):
     """A request that cannot be served as it is.
 
     Attributes:
@@ -79,7 +79,7 @@
     last_event: str | None
 
 
-class AnswerHead(msgspec.Struct, frozen=True):
+class ResponseHead(msgspec.Struct, frozen=True):
     """The head of a backend server's answer, decoded.
 
     Attributes:
@@ -87,7 +87,8 @@
         headers: Headers that travel on, those of one connection left out.
         request_id: The request that it answers; None where it does not say.
         not_run: Whether it says that the request has not run and never will.
-        idle_s: How long the connection may then stay idle, if it says so.
+        idle_timeout_s: Seconds that the connection may then stay idle; None
+            where the response does not say.
         limit_per_s: Requests a second that the backend server accepts from
             all VMs together; None where it names no limit.
         is_leaving: Whether the backend server says that it is leaving.
@@ -99,14 +100,14 @@
     headers: Headers
     request_id: str | None
     not_run: bool
-    idle_s: float | None
+    idle_timeout_s: float | None
     limit_per_s: float | None = None
     is_leaving: bool = False
     pause_s: float | None = None
 
 
-class Answer(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """A whole answer."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
--- a/ramptray/relay/httpfield.py
+++ b/ramptray/relay/response_headers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-COMMON = frozenset(
+STANDARD_RESPONSE_HEADERS = frozenset(
     {
         b"age",
         b"cache-control",
--- a/ramptray/relay/server.py
+++ b/ramptray/relay/server.py
@@ -17,7 +17,7 @@
 from ramptray.bundle import model
 from ramptray.relay import dialect as dialects
 from ramptray.relay import exchange, message, refusal
-from ramptray.relay import stream as streams
+from ramptray.relay import socket_stream as streams
 
 LOG = logging.getLogger(__name__)
 
@@ -35,22 +35,24 @@
 STOPPING = refusal.Refusal(refusal.UNAVAILABLE, "stopping", 0.05)
 """Other VMs can serve the request at once."""
 
-Serve = Callable[[message.CallerRequest, exchange.Reply], Awaitable[None]]
+Serve = Callable[
+    [message.CallerRequest, exchange.ResponseWriter], Awaitable[None]
+]
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller has closed its connection or cannot be written to."""
 
 
 class _BadRequestError(Exception):
     """The bytes of a caller are no request that can be served."""
 
-    def __init__(self, mistake: message.Mistake) -> None:
+    def __init__(self, mistake: message.InvalidRequest) -> None:
         self.mistake = mistake
         super().__init__(mistake.text)
 
 
-class State(msgspec.Struct):
+class ServerState(msgspec.Struct):
     """What all connections of the server share.
 
     Attributes:
@@ -84,11 +86,11 @@
     """
 
     def __init__(self, dialect: dialects.Dialect, serve: Serve) -> None:
-        self.state = State()
+        self.state = ServerState()
         self._dialect = dialect
         self._serve = serve
 
-    def refuse_new(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Serves no further request; what is being served goes on."""
         self.state.refusing = True
         for scope in list(self.state.idle):
@@ -103,14 +105,14 @@
                 stream, self._dialect, self._serve, self.state
             )
             await connection.run()
-        except (OSError, CallerGoneError):
+        except (OSError, CallerDisconnectedError):
             pass  # The caller has gone; nobody is left to be told.
         except Exception:
             # A mistake in the code costs this connection, not the others.
             LOG.exception("connection ended by an error")
         finally:
             self.state.connections -= 1
-            stream.finish()
+            stream.flush_and_close()
 
 
 class CallerConnection:
@@ -121,7 +123,7 @@
         stream: streams.SocketStream,
         dialect: dialects.Dialect,
         serve: Serve,
-        state: State,
+        state: ServerState,
     ) -> None:
         self._stream = stream
         self._dialect = dialect
@@ -146,7 +148,7 @@
         if asked is None:
             return False
         if self._state.refusing:
-            await CallerReply(self, asked).refuse(STOPPING)
+            await CallerResponseWriter(self, asked).refuse(STOPPING)
             return False
         self._state.active += 1
         try:
@@ -159,18 +161,18 @@
 
     async def _serve_watched(self, asked: message.CallerRequest) -> None:
         """Serves a request and gives up as soon as the caller has gone."""
-        reply = CallerReply(self, asked)
+        writer = CallerResponseWriter(self, asked)
         with anyio.CancelScope() as scope:
             self._stream.on_end = scope.cancel
             try:
                 if self._stream.has_ended:
                     scope.cancel()
-                with contextlib.suppress(CallerGoneError):
-                    await self._serve(asked, reply)
+                with contextlib.suppress(CallerDisconnectedError):
+                    await self._serve(asked, writer)
             finally:
                 self._stream.on_end = None
         if scope.cancelled_caught:
-            raise CallerGoneError
+            raise CallerDisconnectedError
 
     # Reading.
 
@@ -179,13 +181,13 @@
         event = await self._read_head()
         if event is None:
             return None
-        head = message.Head(
+        head = message.RequestHead(
             event.method, event.target, list(event.headers.raw_items())
         )
         if _measure(head) > self._state.limits.header_bytes:
-            mistake = message.Mistake(HEAD_TOO_LARGE, "head too large")
+            mistake = message.InvalidRequest(HEAD_TOO_LARGE, "head too large")
             raise _BadRequestError(mistake)
-        match self._dialect.read_request(head):
+        match self._dialect.parse_request(head):
             case Err(mistake):
                 raise _BadRequestError(mistake)
             case Ok(asked):
@@ -207,7 +209,9 @@
             with anyio.fail_after(limits.header_s):
                 return await self._next_request()
         except TimeoutError as error:
-            mistake = message.Mistake(REQUEST_TIMEOUT, "head took too long")
+            mistake = message.InvalidRequest(
+                REQUEST_TIMEOUT, "head took too long"
+            )
             raise _BadRequestError(mistake) from error
 
     async def _wait_for_request(self, idle_s: float) -> bool:
@@ -244,11 +248,15 @@
             async for data in self._iterate_body(ends_at):
                 size += len(data)
                 if size > self._state.limits.body_bytes:
-                    mistake = message.Mistake(TOO_LARGE, "body too large")
+                    mistake = message.InvalidRequest(
+                        TOO_LARGE, "body too large"
+                    )
                     raise _BadRequestError(mistake)
                 parts.append(data)
         except TimeoutError as error:
-            mistake = message.Mistake(REQUEST_TIMEOUT, "body took too long")
+            mistake = message.InvalidRequest(
+                REQUEST_TIMEOUT, "body took too long"
+            )
             raise _BadRequestError(mistake) from error
         return b"".join(parts)
 
@@ -267,9 +275,9 @@
             elif event is h11.NEED_DATA:
                 left_s = max(0.0, ends_at - steadyclock.read())
                 if not await self._receive(left_s):
-                    raise CallerGoneError
+                    raise CallerDisconnectedError
             else:
-                raise CallerGoneError
+                raise CallerDisconnectedError
 
     def _parse_event(self) -> Any:
         try:
@@ -278,7 +286,7 @@
             status = error.error_status_hint
             if status not in (BAD_REQUEST, HEAD_TOO_LARGE):
                 status = BAD_REQUEST
-            mistake = message.Mistake(status, str(error))
+            mistake = message.InvalidRequest(status, str(error))
             raise _BadRequestError(mistake) from error
 
     async def _receive(self, wait_s: float | None = None) -> bool:
@@ -292,11 +300,11 @@
         except anyio.EndOfStream:
             data = b""
         except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
-            raise CallerGoneError from error
+            raise CallerDisconnectedError from error
         try:
             self._http.receive_data(data)
         except h11.RemoteProtocolError as error:
-            raise CallerGoneError from error
+            raise CallerDisconnectedError from error
         return bool(data)
 
     # Writing.
@@ -305,7 +313,7 @@
         """Writes bytes to the caller.
 
         Raises:
-            CallerGoneError: It has gone, or it does not read.
+            CallerDisconnectedError: It has gone, or it does not read.
         """
         try:
             await self._stream.send(data, WRITE_S)
@@ -315,19 +323,19 @@
             anyio.ClosedResourceError,
         ) as error:
             self._cut = True
-            raise CallerGoneError from error
+            raise CallerDisconnectedError from error
 
     async def send_event(self, event: Any) -> None:
         """Writes a part of an answer.
 
         Raises:
-            CallerGoneError: It has gone, or it does not read.
+            CallerDisconnectedError: It has gone, or it does not read.
         """
         try:
             data = self._http.send(event)
         except h11.LocalProtocolError as error:
             self._cut = True
-            raise CallerGoneError from error
+            raise CallerDisconnectedError from error
         if data:
             await self.send(data)
 
@@ -342,7 +350,7 @@
             return [(b"Connection", b"close")]
         return []
 
-    async def _answer_mistake(self, mistake: message.Mistake) -> None:
+    async def _answer_mistake(self, mistake: message.InvalidRequest) -> None:
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         LOG.info(
@@ -355,7 +363,7 @@
         await send_refusal(self, refused, headers)
 
 
-class CallerReply(exchange.Reply):
+class CallerResponseWriter(exchange.ResponseWriter):
     """The way back to a caller on its connection."""
 
     def __init__(
@@ -364,7 +372,9 @@
         self._connection = connection
         self._asked = asked
 
-    async def start(self, head: message.AnswerHead, length: int | None) -> None:
+    async def start(
+        self, head: message.ResponseHead, length: int | None
+    ) -> None:
         """See the base class."""
         headers = [*head.headers, *self._connection.get_closing_headers()]
         if length is not None:
@@ -397,7 +407,7 @@
         await self._connection.cut()
 
 
-def _measure(head: message.Head) -> int:
+def _measure(head: message.RequestHead) -> int:
     """Returns the size of a head in bytes, as good as it arrived."""
     fields = sum(len(name) + len(value) + 4 for name, value in head.headers)
     return len(head.method) + len(head.target) + fields
--- a/ramptray/relay/service.py
+++ b/ramptray/relay/service.py
@@ -18,7 +18,7 @@
 UNAUTHORIZED = 401
 NOT_FOUND = 404
 
-WAIT_PART = 0.45
+MAX_WAIT_FRACTION = 0.45
 """Part of a caller's patience that its request may wait before it is refused: a
 refusal after more than half of it leaves no time to come back."""
 
@@ -63,14 +63,14 @@
         self._of: acceptance.InForce | None = None
 
     async def serve(
-        self, asked: message.CallerRequest, reply: exchange.Reply
+        self, asked: message.CallerRequest, writer: exchange.ResponseWriter
     ) -> None:
         """Serves one request to the end of its answer."""
         in_force = await self._desk.network.wait_in_force(IN_FORCE_WAIT_S)
         if in_force is None:
             await self._refuse(
                 asked,
-                reply,
+                writer,
                 refusal.Refusal(
                     refusal.UNAVAILABLE, "not_ready", NOT_READY_RETRY_S
                 ),
@@ -78,14 +78,14 @@
             return
         order = self._make_order(asked, in_force)
         if isinstance(order, refusal.Refusal):
-            await self._refuse(asked, reply, order)
+            await self._refuse(asked, writer, order)
             return
-        await self._exchange(order, reply)
+        await self._exchange(order, writer)
 
     async def _exchange(
-        self, order: exchange.Order, reply: exchange.Reply
+        self, order: exchange.RoutedRequest, writer: exchange.ResponseWriter
     ) -> None:
-        served = exchange.Exchange(order, self._desk, self._client, reply)
+        served = exchange.Exchange(order, self._desk, self._client, writer)
         began = steadyclock.read()
         tier = order.info.tier
         try:
@@ -95,13 +95,13 @@
                 tier, served.outcome, order.route.kind.value
             )
             self._metrics.record("answer", tier, steadyclock.read() - began)
-            if served.first_s is not None:
-                self._metrics.record("first_event", tier, served.first_s)
+            if served.first_event_s is not None:
+                self._metrics.record("first_event", tier, served.first_event_s)
 
     async def _refuse(
         self,
         asked: message.CallerRequest,
-        reply: exchange.Reply,
+        writer: exchange.ResponseWriter,
         refused: refusal.Refusal,
     ) -> None:
         generation = self._of.generation if self._of else None
@@ -114,11 +114,11 @@
             generation=generation,
         )
         self._metrics.count_end("", "refused", refused.text)
-        await reply.refuse(refused)
+        await writer.refuse(refused)
 
     def _make_order(
         self, asked: message.CallerRequest, in_force: acceptance.InForce
-    ) -> exchange.Order | refusal.Refusal:
+    ) -> exchange.RoutedRequest | refusal.Refusal:
         """Returns what to serve, or why it is not served."""
         bundle = in_force.bundle
         if self._of is None or self._of.bundle.routes is not bundle.routes:
@@ -148,7 +148,7 @@
         route: model.Route,
         customer: str,
         service: str,
-    ) -> exchange.Order:
+    ) -> exchange.RoutedRequest:
         timeout_s = route.timeout_s
         if asked.deadline_s is not None:
             timeout_s = min(timeout_s, asked.deadline_s)
@@ -175,7 +175,7 @@
             repeatable=_is_repeatable(route),
             max_attempts=route.max_attempts,
             objective_s=route.objective_s,
-            wait_s=patience_s * WAIT_PART,
+            wait_s=patience_s * MAX_WAIT_FRACTION,
             max_gap_s=route.max_gap_s,
             event_tokens=event_tokens,
             content=content.make_digest(asked, customer, self._content_key),
@@ -183,7 +183,7 @@
                 route.regions, declared.regions if declared else None
             ),
         )
-        return exchange.Order(
+        return exchange.RoutedRequest(
             asked, info, route, customer, timeout_s, event_tokens
         )
 
--- a/ramptray/relay/stream.py
+++ b/ramptray/relay/socket_stream.py
@@ -101,7 +101,7 @@
     # Called by the relay.
 
     @property
-    def is_quiet(self) -> bool:
+    def is_open_and_empty(self) -> bool:
         """Whether the connection is open and nothing waits to be read."""
         return not (self._unread or self._ended or self._closed)
 
@@ -175,7 +175,7 @@
             _wake(self._reader)
             _wake(self._writer)
 
-    def finish(self) -> None:
+    def flush_and_close(self) -> None:
         """Closes the connection; what was written still goes out.
 
         A peer that does not read what was written is not waited for.
--- a/test/test_adapter.py
+++ b/test/test_adapter.py
@@ -134,12 +134,14 @@
         settings.read_settings(path)
 
 
-def read(*headers: tuple[str, str]) -> message.CallerRequest | message.Mistake:
+def read(
+    *headers: tuple[str, str],
+) -> message.CallerRequest | message.InvalidRequest:
     """Returns what the adapter makes of a request with these headers."""
-    head = message.Head(
+    head = message.RequestHead(
         b"POST", b"/a/", [(n.encode(), v.encode()) for n, v in headers]
     )
-    match header.PlatformDialect().read_request(head):
+    match header.PlatformDialect().parse_request(head):
         case Ok(asked):
             return asked
         case Err(mistake):
@@ -187,7 +189,7 @@
     headers: list[tuple[str, str]],
 ) -> None:
     mistake = read(*headers)
-    assert isinstance(mistake, message.Mistake)
+    assert isinstance(mistake, message.InvalidRequest)
     assert mistake.status == 400
 
 
@@ -203,13 +205,15 @@
 def test_only_a_replica_s_word_says_not_run(
     status: int, headers: message.Headers, not_run: bool
 ) -> None:
-    answer = header.PlatformDialect().read_answer(status, headers)
+    answer = header.PlatformDialect().parse_response_head(status, headers)
     assert answer.not_run is not_run
 
 
 def read_limit(*values: bytes) -> float | None:
     headers = [(b"Server-Limit", value) for value in values]
-    return header.PlatformDialect().read_answer(200, headers).limit_per_s
+    return (
+        header.PlatformDialect().parse_response_head(200, headers).limit_per_s
+    )
 
 
 @pytest.mark.parametrize("value", [b"2", b"1.1", b"0.25", b" 12.5 ", b"0"])
@@ -237,7 +241,7 @@
     headers = [(b"server-limit", value) for value in values]
     dialect = header.PlatformDialect()
     for _ in range(100):
-        answer = dialect.read_answer(200, headers)
+        answer = dialect.parse_response_head(200, headers)
         assert answer.limit_per_s is None
         assert answer.headers == headers
     assert dialect.invalid == {"server-limit": 100}
@@ -246,8 +250,8 @@
 
 def read_answer(
     status: int, *headers: tuple[bytes, bytes]
-) -> message.AnswerHead:
-    return header.PlatformDialect().read_answer(status, list(headers))
+) -> message.ResponseHead:
+    return header.PlatformDialect().parse_response_head(status, list(headers))
 
 
 def test_a_leaving_server_is_known_by_its_answer() -> None:
@@ -288,7 +292,7 @@
     headers = [(name.title().encode(), value) for value in values]
     dialect = header.PlatformDialect()
     for _ in range(100):
-        answer = dialect.read_answer(503, headers)
+        answer = dialect.parse_response_head(503, headers)
         assert answer.pause_s is None
         assert not answer.is_leaving
         assert answer.headers == headers
@@ -302,11 +306,11 @@
     caplog.set_level("INFO")
     dialect = header.PlatformDialect()
     known = [(b"Content-Type", b"a"), (b"Server-Limit", b"2"), (b"Date", b"b")]
-    dialect.read_answer(200, known)
+    dialect.parse_response_head(200, known)
     assert not caplog.records
     for number in range(100):
         names = [b"Server-Mood", f"X-New-{number}".encode()]
-        dialect.read_answer(200, [(name, b"1") for name in names])
+        dialect.parse_response_head(200, [(name, b"1") for name in names])
     assert len(caplog.records) == header.MAX_UNKNOWN
 
 
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -237,19 +237,19 @@
     )
     assert whole == text[: text.rindex(b"id: 3")]
     assert (splitter.last_id, splitter.count) == ("2", 2)
-    assert splitter.take_rest() == b"id: 3\ndata: c"
+    assert splitter.take_remainder() == b"id: 3\ndata: c"
 
 
-class Idle:
+class FakeIdleConnection:
     """An idle connection whose end takes a moment."""
 
     def __init__(self, idle_since: float) -> None:
         self.target = connection.Target("")
         self.idle_since = idle_since
-        self.idle_s = 5.0
+        self.idle_timeout_s = 5.0
         self.closed = False
 
-    def is_quiet(self) -> bool:
+    def is_usable(self) -> bool:
         return True
 
     async def close(self) -> None:
@@ -261,12 +261,17 @@
     async def run() -> None:
         kept = client.RelayClient(header.PlatformDialect())
         now = anyio.current_time()
-        idle = [Idle(now - 60), Idle(now), Idle(now), Idle(now - 60)]
+        idle = [
+            FakeIdleConnection(now - 60),
+            FakeIdleConnection(now),
+            FakeIdleConnection(now),
+            FakeIdleConnection(now - 60),
+        ]
         kept._idle["x:1"] = idle  # type: ignore[assignment]
         lent: list[object] = []
 
         async def take() -> None:
-            lent.append(await kept._take(connection.Target("x:1"), False))
+            lent.append(await kept._checkout(connection.Target("x:1"), False))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(take)
@@ -315,14 +320,17 @@
 def test_a_connection_from_before_a_cut_is_not_lent() -> None:
     async def run() -> None:
         kept = client.RelayClient(header.PlatformDialect())
-        old, other = Idle(anyio.current_time()), Idle(anyio.current_time())
+        old, other = (
+            FakeIdleConnection(anyio.current_time()),
+            FakeIdleConnection(anyio.current_time()),
+        )
         kept._idle["127.0.0.1:1"] = [old]  # type: ignore[list-item]
         kept._idle["y:1"] = [other]  # type: ignore[list-item]
-        kept.distrust(["127.0.0.1:1"])
-        lent: object = await kept._take(connection.Target("y:1"), False)
+        kept.expire_idle(["127.0.0.1:1"])
+        lent: object = await kept._checkout(connection.Target("y:1"), False)
         assert lent is other
         with pytest.raises(connection.NotSentError):
-            await kept._take(connection.Target("127.0.0.1:1"), False)
+            await kept._checkout(connection.Target("127.0.0.1:1"), False)
         assert old.closed
 
     anyio.run(run)
--- a/test/test_fuzz.py
+++ b/test/test_fuzz.py
@@ -86,10 +86,10 @@
     status: int, headers: message.Headers
 ) -> None:
     dialect = header.PlatformDialect()
-    answer = dialect.read_answer(status, headers)
+    answer = dialect.parse_response_head(status, headers)
     assert is_amount(answer.limit_per_s)
     assert is_amount(answer.pause_s)
-    assert is_amount(answer.idle_s)
+    assert is_amount(answer.idle_timeout_s)
     assert answer.pause_s is None or status == 503
     assert len(answer.headers) <= len(headers)
 
@@ -104,8 +104,8 @@
 def test_no_head_of_a_request_raises(
     target: bytes, headers: message.Headers
 ) -> None:
-    head = message.Head(b"GET", target, headers)
-    match header.PlatformDialect().read_request(head):
+    head = message.RequestHead(b"GET", target, headers)
+    match header.PlatformDialect().parse_request(head):
         case Ok(asked):
             assert is_amount(asked.deadline_s)
             assert is_amount(asked.prompt_tokens)
--- a/test/test_prefix_placement.py
+++ b/test/test_prefix_placement.py
@@ -139,7 +139,7 @@
 def read_prefix(
     value: bytes, model: bytes = b"m"
 ) -> relay_message.CallerRequest:
-    head = relay_message.Head(
+    head = relay_message.RequestHead(
         b"POST",
         b"/",
         [
@@ -148,7 +148,7 @@
             (b"X-Prompt-Prefix", value),
         ],
     )
-    asked = header.PlatformDialect().read_request(head).unwrap()
+    asked = header.PlatformDialect().parse_request(head).unwrap()
     assert isinstance(asked, relay_message.CallerRequest)
     return asked
 
--- a/test/test_socket_stream.py
+++ b/test/test_socket_stream.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ramptray import steadyclock
-from ramptray.relay import stream as streams
+from ramptray.relay import socket_stream as streams
 
 pytestmark = pytest.mark.anyio
 
@@ -69,7 +69,7 @@
         async def write() -> None:
             await one.send(LARGE, 5.0)
             await one.send(b"end", 5.0)
-            one.finish()
+            one.flush_and_close()
 
         tasks.start_soon(write)
         assert await read_all(other) == LARGE + b"end"
@@ -102,11 +102,11 @@
         ends: list[None] = []
         other.on_end = lambda: ends.append(None)
         await one.send(b"last", 1.0)
-        one.finish()
+        one.flush_and_close()
         await anyio.sleep(0.1)
         assert len(ends) == 1
         assert other.has_ended
-        assert not other.is_quiet
+        assert not other.is_open_and_empty
         assert await other.receive() == b"last"
         with pytest.raises(anyio.EndOfStream):
             await other.receive()
@@ -128,7 +128,7 @@
     async with open_pair() as (one, other):
         with pytest.raises(TimeoutError):
             await one.send(LARGE, 0.1)
-        one.finish()
+        one.flush_and_close()
         await anyio.sleep(0.1)
         assert one._lost
         assert other._unread_bytes < len(LARGE)
--- a/test/test_suspension.py
+++ b/test/test_suspension.py
@@ -16,7 +16,7 @@
 from ramptray.node import suspension
 from ramptray.platform import header
 from ramptray.relay import client, connection
-from test.test_attempts import Idle
+from test.test_attempts import FakeIdleConnection
 
 ROOT = pathlib.Path(__file__).parent.parent / "ramptray"
 READERS = {"steadyclock.py"}
@@ -44,13 +44,13 @@
     steady = time.monotonic()
     monkeypatch.setattr(time, "monotonic", lambda: steady)
     monkeypatch.setattr(time, "clock_gettime", lambda clock: steady + AWAY_S)
-    idle = Idle(steady)
+    idle = FakeIdleConnection(steady)
 
     async def run() -> None:
         kept = client.RelayClient(header.PlatformDialect())
         kept._idle["127.0.0.1:1"] = [idle]  # type: ignore[list-item]
         with pytest.raises(connection.NotSentError):
-            await kept._take(connection.Target("127.0.0.1:1"), False)
+            await kept._checkout(connection.Target("127.0.0.1:1"), False)
 
     anyio.run(run)
     assert idle.closed
