--- a/ramptray/core/blocklist.py
+++ b/ramptray/core/blocklist.py
@@ -101,10 +101,10 @@
             content: The content; an empty one is never blocked.
             now: The clock of this VM.
         """
-        found = self._blocks.get(content)
-        if found is None or found.is_inactive(now):
+        block = self._blocks.get(content)
+        if block is None or block.is_inactive(now):
             return 0.0
-        return found.until - now
+        return block.until - now
 
     def count_in_force(self, now: float) -> int:
         """Returns the number of blocked contents."""
@@ -114,8 +114,8 @@
 
     def was_blocked(self, content: str) -> bool:
         """Returns whether a content has a block that was not lifted."""
-        found = self._blocks.get(content)
-        return found is not None and not found.lifted
+        block = self._blocks.get(content)
+        return block is not None and not block.lifted
 
     def block(self, content: str, crashes: int, now: float) -> Block:
         """Blocks a content, for longer than its previous block."""
@@ -128,10 +128,10 @@
 
     def lift(self, content: str, now: float) -> bool:
         """Lifts a block; returns whether the content was blocked."""
-        found = self._blocks.get(content)
-        if found is None or found.is_inactive(now):
+        block = self._blocks.get(content)
+        if block is None or block.is_inactive(now):
             return False
-        self._apply_decision(msgspec.structs.replace(found, lifted=True), now)
+        self._apply_decision(msgspec.structs.replace(block, lifted=True), now)
         return True
 
     def merge(self, updates: Iterable[BlockUpdate], now: float) -> list[Block]:
--- a/ramptray/core/distribution.py
+++ b/ramptray/core/distribution.py
@@ -82,9 +82,9 @@
     members: Iterable[membership.Member],
 ) -> list[membership.Member]:
     """Returns VMs by descending link speed, equal ones by hash."""
-    known = list(members)
+    vms = list(members)
     ranked = membership.pick_owners(
-        RANKING_KEY, [member.vm for member in known], len(known)
+        RANKING_KEY, [member.vm for member in vms], len(vms)
     )
-    place = {vm: number for number, vm in enumerate(ranked)}
-    return sorted(known, key=lambda m: (-m.link_mbps, place[m.vm]))
+    rank = {vm: number for number, vm in enumerate(ranked)}
+    return sorted(vms, key=lambda m: (-m.link_mbps, rank[m.vm]))
--- a/ramptray/core/poison.py
+++ b/ramptray/core/poison.py
@@ -316,13 +316,15 @@
             if runner.content == content
         ]
         count = self.get_crash_count(content)
-        made = self.blocks.block(content, len(crashes), now)
+        block = self.blocks.block(content, len(crashes), now)
         backends = tuple(crash.backend for crash in crashes)
-        return Detection(made, count, backends, tuple(ids), tied)
+        return Detection(block, count, backends, tuple(ids), tied)
 
     def _drop_explained(self, contents: Iterable[str]) -> None:
         """Drops the crash groups that the given contents explain."""
-        found = set(contents)
-        left = [g for g in self._groups if not found & g.list_suspects()]
+        explaining = set(contents)
+        remaining = [
+            g for g in self._groups if not explaining & g.list_suspects()
+        ]
         self._groups.clear()
-        self._groups.extend(left)
+        self._groups.extend(remaining)
--- a/ramptray/core/rollout.py
+++ b/ramptray/core/rollout.py
@@ -391,10 +391,10 @@
             # The slack is spread over time, as a release may turn bad late.
             spread = min(1.0, progress / RAMP_AT)
             self._slack = max(1.0, self.order.slack * SLACK_FRACTION * spread)
-        known = self._routes.get(ALL_ROUTES)
+        combined = self._routes.get(ALL_ROUTES)
         ready = (
-            known is not None
-            and known.is_healthy
+            combined is not None
+            and combined.is_healthy
             and capacity.new >= MIN_CAPACITY_FRACTION * capacity.old
         )
         if ready or self._responses_at_drain is not None:
--- a/test/poison_load.py
+++ b/test/poison_load.py
@@ -47,7 +47,7 @@
         self._over.set()
         self._thread.join()
 
-    def get_known_at(self) -> float:
+    def get_blocked_by(self) -> float:
         """Returns when all VMs must block the content; infinity if unknown."""
         if len(self.ended_at) < 3:
             return float("inf")
--- a/test/test_poison.py
+++ b/test/test_poison.py
@@ -52,7 +52,7 @@
     started: node.Platform, supervisor: Supervisor, sent: dict[str, float]
 ) -> int:
     """Returns how many tries ran that were sent after all VMs must block."""
-    known_at = supervisor.get_known_at()
+    known_at = supervisor.get_blocked_by()
     ran = {
         request_id
         for name in started.replicas
@@ -74,7 +74,7 @@
     sent: dict[str, float] = {}
     ends_at = time.monotonic() + MAX_DURATION_S
     for number in itertools.count():
-        known_at = supervisor.get_known_at()
+        known_at = supervisor.get_blocked_by()
         late = sum(at > known_at for at in sent.values())
         if late >= MIN_LATE_TRIES or time.monotonic() > ends_at:
             break
