--- a/ramptray/controller/main.py
+++ b/ramptray/controller/main.py
@@ -61,7 +61,7 @@
     async def run(self) -> None:
         """Handles messages of the scheduler until cancelled."""
         async for event in self._receive:
-            if isinstance(event, attachment.Said):
+            if isinstance(event, attachment.MessageReceived):
                 self._handle_message(event.body)
 
     def _handle_message(self, body: object) -> None:
--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -170,11 +170,11 @@
         match event:
             case tickets.Submitted(ticket):
                 self._begin(ticket, now)
-            case attachment.Up(address):
+            case attachment.LinkOpened(address):
                 self._sync(address, now)
-            case attachment.Down(address):
+            case attachment.LinkClosed(address):
                 self._lose_link(address, now)
-            case attachment.Said(address, body):
+            case attachment.MessageReceived(address, body):
                 self._receive(address, body, now)
             case _:
                 self._handle_exchange(event, now)
--- a/ramptray/entry/ticket.py
+++ b/ramptray/entry/ticket.py
@@ -136,9 +136,9 @@
     | AttemptFailed
     | Lost
     | Abandoned
-    | attachment.Up
-    | attachment.Down
-    | attachment.Said
+    | attachment.LinkOpened
+    | attachment.LinkClosed
+    | attachment.MessageReceived
 )
 ExchangeEffect = request.Dispatch | request.Finish
 
--- a/ramptray/log/client.py
+++ b/ramptray/log/client.py
@@ -134,10 +134,10 @@
     )
     if response.status >= 300:
         raise PlatformError(f"{method} {url}: status {response.status}")
-    return decode_answer(response, url)
+    return decode_response(response, url)
 
 
-def decode_answer(response: httpcore.Response, url: str) -> Any:
+def decode_response(response: httpcore.Response, url: str) -> Any:
     """Returns the JSON value of an answer.
 
     Raises:
--- a/ramptray/log/repetition.py
+++ b/ramptray/log/hedging.py
@@ -18,11 +18,11 @@
 
 LOG = logging.getLogger(__name__)
 
-REPEAT_S = 0.8
+HEDGE_DELAY_S = 0.8
 """Time after which a call that need not wait is repeated, in seconds: twice
 what an answer takes on the slowest days of the log."""
 
-STALL_S = 1.0
+STALL_TIMEOUT_S = 1.0
 """An answer of which bytes came within this time is on its way, in seconds.  A
 large one takes long on a slow link, and repeating it makes the link slower: by
 older versions 93 and 87 requests were refused or served too late with repeats,
@@ -31,7 +31,7 @@
 AnswerT = TypeVar("AnswerT")
 
 
-class Repetition(Generic[AnswerT]):
+class HedgedCall(Generic[AnswerT]):
     """Calls that need not wait, of which one answer is wanted.
 
     Args:
@@ -42,14 +42,14 @@
         self._on_overdue = on_overdue
         self._progress_at = float("-inf")
 
-    def note_progress(self) -> None:
+    def record_progress(self) -> None:
         """Notes that bytes of an answer have come."""
         self._progress_at = steadyclock.read()
 
     @property
     def is_arriving(self) -> bool:
         """Whether an answer is on its way, if a slow one."""
-        return steadyclock.read() - self._progress_at < STALL_S
+        return steadyclock.read() - self._progress_at < STALL_TIMEOUT_S
 
     async def ask(self, call: Callable[[], Awaitable[AnswerT]]) -> AnswerT:
         """Repeats a call until one of them answers.
@@ -78,11 +78,11 @@
             while True:
                 if not self.is_arriving:
                     tasks.start_soon(attempt)
-                with anyio.move_on_after(REPEAT_S):
+                with anyio.move_on_after(HEDGE_DELAY_S):
                     outcome = await receive.receive()
                     break
                 if not self.is_arriving:
-                    self._on_overdue(f"no answer within {REPEAT_S} s")
+                    self._on_overdue(f"no answer within {HEDGE_DELAY_S} s")
             tasks.cancel_scope.cancel()
         if isinstance(outcome, log_error.LogError):
             raise outcome
--- a/ramptray/log/mirror.py
+++ b/ramptray/log/mirror.py
@@ -16,18 +16,18 @@
 from ramptray.log import keyedstream
 from ramptray.peer import message as peer_message
 
-KEPT_VALUES = 8
+MAX_FORMER_VALUES = 8
 """Former values of a large record that are kept, so that a VM that is some
 changes behind gets a difference too."""
 
-LARGE_BYTES = 2048
+MIN_DELTA_BYTES = 2048
 """Values from this size on are told as differences; smaller ones fit a packet
 or two as they are."""
 
-KEPT_DROPS = 1000
+MAX_TOMBSTONES = 1000
 """Dropped keys that are remembered; who is further behind is told all."""
 
-KEPT_PACKED = 16
+MAX_PACKED_VALUES = 16
 """Packed values that are kept: VMs that follow mostly ask for the same ones."""
 
 
@@ -66,7 +66,7 @@
             collections.OrderedDict()
         )
 
-    def take(self, changes: keyedstream.Changes, whole: bool) -> None:
+    def apply(self, changes: keyedstream.Changes, whole: bool) -> None:
         """Takes records in their order.
 
         Args:
@@ -81,11 +81,11 @@
         for change in changes.records:
             self._take(change)
         self.end = changes.end
-        while len(self._dropped) > KEPT_DROPS:
+        while len(self._dropped) > MAX_TOMBSTONES:
             key = next(iter(self._dropped))
             self._whole_before = self._dropped.pop(key) + 1
 
-    def tell(self, stream: str, start: int) -> peer_message.StreamNews:
+    def make_update(self, stream: str, start: int) -> peer_message.StreamNews:
         """Returns what somebody lacks who holds the stream up to an offset.
 
         Args:
@@ -144,10 +144,10 @@
             self._keep(change.key, _Version(before.position, before.value))
 
     def _keep(self, key: str, version: _Version) -> None:
-        if len(version.value) < LARGE_BYTES or version.position < 0:
+        if len(version.value) < MIN_DELTA_BYTES or version.position < 0:
             return
         kept = self._former.setdefault(
-            key, collections.deque(maxlen=KEPT_VALUES)
+            key, collections.deque(maxlen=MAX_FORMER_VALUES)
         )
         if not kept or kept[-1].position != version.position:
             kept.append(version)
@@ -170,7 +170,7 @@
         self, change: keyedstream.Change, start: int
     ) -> peer_message.StreamRecord:
         value = change.value or b""
-        if len(value) < LARGE_BYTES:
+        if len(value) < MIN_DELTA_BYTES:
             return peer_message.StreamRecord(change.key, change.position, value)
         base = max(
             (
@@ -185,7 +185,7 @@
         if name not in self._packed:
             former = base.value if base else b""
             self._packed[name] = delta.pack(former, value)
-            while len(self._packed) > KEPT_PACKED:
+            while len(self._packed) > MAX_PACKED_VALUES:
                 self._packed.popitem(last=False)
         return peer_message.StreamRecord(
             change.key,
--- a/ramptray/log/pages.py
+++ b/ramptray/log/pages.py
@@ -15,7 +15,7 @@
         log: The log.
         stream: The stream's name.
         longest_wait_s: See the base class.
-        gather_s: See the base class.
+        batch_delay_s: See the base class.
     """
 
     def __init__(
@@ -23,16 +23,16 @@
         log: log_client.Log,
         stream: str,
         longest_wait_s: float,
-        gather_s: float = reader.GATHER_S,
+        batch_delay_s: float = reader.BATCH_DELAY_S,
     ) -> None:
-        super().__init__(stream, longest_wait_s, gather_s)
+        super().__init__(stream, longest_wait_s, batch_delay_s)
         self._log = log
 
     async def read_first(self) -> log_client.Page:
         """See the base class."""
         return await self._log.read(self.stream, 0, 0.0)
 
-    async def read_on(
+    async def read_from(
         self, offset: int, wait_s: float, timeout_s: float
     ) -> log_client.Page:
         """See the base class."""
--- a/ramptray/log/reader.py
+++ b/ramptray/log/reader.py
@@ -22,7 +22,7 @@
 from ramptray import steadyclock
 from ramptray.caller import metrics
 from ramptray.log import error as log_error
-from ramptray.log import repetition
+from ramptray.log import hedging
 
 LOG = logging.getLogger(__name__)
 
@@ -34,25 +34,25 @@
 """Longest pause between two such calls, in seconds: what the log has must be
 in force about two seconds after it answers again."""
 
-GATHER_S = 0.4
+BATCH_DELAY_S = 0.4
 """Pause after an answer with records, in seconds, so that changes that come
 together cost one call: a fifth of the time in which a change must be in
 force."""
 
 WATCH_WAIT_S = 1.0
-"""How long a watcher's read waits, in seconds.  With ``ANSWER_S`` a lost read
-is found within 1.6 s; a VM is held to changes 3 s after an outage.  It costs
-the log a call a second a stream, too much for all VMs."""
+"""How long a watcher's read waits, in seconds.  With ``RESPONSE_MARGIN_S`` a
+lost read is found within 1.6 s; a VM is held to changes 3 s after an outage.
+It costs the log a call a second a stream, too much for all VMs."""
 
-ANSWER_S = 0.6
+RESPONSE_MARGIN_S = 0.6
 """How much longer than it waits a read may take, in seconds: on the slowest
 days of the log an answer takes 0.4 s."""
 
-CALL_S = 3.0
+CALL_TIMEOUT_S = 3.0
 """Longest time for a call that need not wait, in seconds.  It is repeated long
 before, so this only bounds how many are underway."""
 
-SETTLED_S = 0.4
+LOST_READ_AFTER_S = 0.4
 """Time after which a read that waits would have been answered if there were
 records, in seconds: what a slow log takes."""
 
@@ -81,18 +81,18 @@
         stream: The stream's name.
         longest_wait_s: How long a read waits on VMs that do not watch, in
             seconds.
-        gather_s: Pause after an answer with records, in seconds.
-        is_told: Whether VMs that do not watch are told by other VMs what there
-            is, and do not read.
+        batch_delay_s: Pause after an answer with records, in seconds.
+        follows_peers: Whether VMs that do not watch are told by other VMs what
+            there is, and do not read.
 
     Attributes:
         stream: The stream's name.
-        lost: Whether the log does not answer.
+        in_outage: Whether the log does not answer.
         answered_at: When it last answered, or another VM told of its answer;
             None before the first time.
         fresh_at: When the log had no more than what is known here.
         origin: Who told what is taken at present: the log, or a peer.
-        on_news: Called when others may not have read what is known here.
+        on_advance: Called when others may not have read what is known here.
         on_answer: Called with each answer of the log.
     """
 
@@ -100,25 +100,25 @@
         self,
         stream: str,
         longest_wait_s: float,
-        gather_s: float = GATHER_S,
-        is_told: bool = False,
+        batch_delay_s: float = BATCH_DELAY_S,
+        follows_peers: bool = False,
     ) -> None:
         self.stream = stream
-        self.lost = False
+        self.in_outage = False
         self.answered_at: float | None = None
         self.fresh_at = float("-inf")
         self.origin = LOG_ORIGIN
-        self.on_news: Callable[[], None] = _tell_nobody
+        self.on_advance: Callable[[], None] = _tell_nobody
         self.on_answer: Callable[[], None] = _tell_nobody
         self._longest_wait_s = longest_wait_s
-        self._gather_s = gather_s
+        self._gather_s = batch_delay_s
         self._watching = False
-        self._is_told = is_told
+        self._is_told = follows_peers
         self._watched = anyio.Event()
         self._end: int | None = None
         self._told = 0
         self._told_at = 0.0
-        self._calls = repetition.Repetition[PageT](self._note_trouble)
+        self._calls = hedging.HedgedCall[PageT](self._begin_outage)
         self._doubted = False
         self._asked_at: float | None = None
         self._lost_at = 0.0
@@ -133,7 +133,7 @@
         """
 
     @abc.abstractmethod
-    async def read_on(
+    async def read_from(
         self, offset: int, wait_s: float, timeout_s: float
     ) -> PageT:
         """Returns the records from an offset on.
@@ -150,7 +150,7 @@
         """
 
     @abc.abstractmethod
-    async def take(self, page: PageT, first: bool) -> None:
+    async def apply_page(self, page: PageT, first: bool) -> None:
         """Takes what was read; ``first`` tells that a reader began with it."""
 
     @abc.abstractmethod
@@ -161,12 +161,12 @@
     def count_records(self, page: PageT) -> int:
         """Returns how many records were read."""
 
-    def note_trouble(self) -> None:
+    def record_outage(self) -> None:
         """Called each time that the log does not answer."""
 
-    def note_progress(self) -> None:
+    def record_progress(self) -> None:
         """Notes that bytes of an answer have come."""
-        self._calls.note_progress()
+        self._calls.record_progress()
 
     @property
     def known_end(self) -> int:
@@ -187,7 +187,7 @@
                 LOG.info("history was dropped: %s", error)
                 self._end = None
             except log_error.LogError as error:
-                self._note_trouble(str(error))
+                self._begin_outage(str(error))
                 await anyio.sleep(pause_s * random.uniform(0.7, 1.3))
                 pause_s = min(pause_s * 2, MAX_RETRY_S)
             else:
@@ -221,20 +221,20 @@
         return self._watching
 
     @property
-    def lacks_records(self) -> bool:
+    def is_behind(self) -> bool:
         """Whether there are records that are not known here yet."""
         return self._told > (self._end or 0)
 
-    def get_lack_s(self, now: float) -> float:
+    def get_lag_s(self, now: float) -> float:
         """Returns for how many seconds known records have been missing here."""
-        return now - self._told_at if self.lacks_records else 0.0
+        return now - self._told_at if self.is_behind else 0.0
 
     @property
     def end(self) -> int | None:
         """Up to which offset the stream is known here; None for nothing."""
         return self._end
 
-    async def take_told(
+    async def apply_peer_page(
         self, page: PageT, whole: bool, fresh_at: float, peer: str
     ) -> None:
         """Takes what another VM has read.
@@ -250,32 +250,32 @@
             return
         if self._end is None or end > self._end:
             self.origin = f"peer {peer}"
-            await self.take(page, whole)
+            await self.apply_page(page, whole)
             self._end = end
             self._told = max(self._told, end)
-            self.on_news()
+            self.on_advance()
         self.fresh_at = max(self.fresh_at, fresh_at)
         self.answered_at = steadyclock.read()
         if not self._watching:
-            self.lost = False
+            self.in_outage = False
 
-    def note_told(self, end: int) -> None:
+    def update_known_end(self, end: int) -> None:
         """Takes how far the stream reaches as somebody else knows."""
         if self._end is None or end <= self.known_end:
             return
         if self._told <= self._end:
             self._told_at = steadyclock.read()
         self._told = end
-        self.on_news()
+        self.on_advance()
 
-    def check_underway(self) -> None:
+    def check_pending_read(self) -> None:
         """Gives a read up that waits for records which are there."""
         underway = self._underway
         if underway is None or self._told <= (self._end or 0):
             return
         due_since = max(underway.sent_at, self._told_at)
         if (
-            steadyclock.read() - due_since < SETTLED_S
+            steadyclock.read() - due_since < LOST_READ_AFTER_S
             or self._calls.is_arriving
         ):
             return
@@ -291,7 +291,7 @@
         # age.
         values = {
             "log_read_underway_seconds": _round_age(self._asked_at, now) or 0.0,
-            "log_lost_seconds": now - self._lost_at if self.lost else 0.0,
+            "log_lost_seconds": now - self._lost_at if self.in_outage else 0.0,
             "log_watching": float(self._watching),
         }
         if self.answered_at is not None:
@@ -311,9 +311,9 @@
         offset = self._end
         if offset is None:
             found = await self._calls.ask(self.read_first)
-        elif self.lost or self._doubted:
+        elif self.in_outage or self._doubted:
             found = await self._calls.ask(
-                lambda: self.read_on(offset, 0.0, CALL_S)
+                lambda: self.read_from(offset, 0.0, CALL_TIMEOUT_S)
             )
         else:
             waited = await self._wait(offset)
@@ -324,7 +324,7 @@
             # Another VM told more while the answer was on its way.
             return None
         self.origin = LOG_ORIGIN
-        await self.take(found, offset is None)
+        await self.apply_page(found, offset is None)
         self._note_answer(offset, found)
         return found
 
@@ -333,7 +333,9 @@
         wait_s = WATCH_WAIT_S if self._watching else self._longest_wait_s
         try:
             with self._note_underway():
-                return await self.read_on(offset, wait_s, wait_s + ANSWER_S)
+                return await self.read_from(
+                    offset, wait_s, wait_s + RESPONSE_MARGIN_S
+                )
         except log_error.LogTimeoutError as error:
             self._doubt(str(error))
         return None
@@ -351,7 +353,7 @@
         await anyio.sleep(self._gather_s)
         if self._watching:
             # By now everybody whose read was not lost has read it too.
-            self.on_news()
+            self.on_advance()
 
     # What is believed of the log.
 
@@ -371,12 +373,12 @@
         if self._underway:
             self._underway.scope.cancel()
 
-    def _note_trouble(self, detail: str) -> None:
-        self.note_trouble()
-        if self.lost:
+    def _begin_outage(self, detail: str) -> None:
+        self.record_outage()
+        if self.in_outage:
             return
         now = steadyclock.read()
-        self.lost = True
+        self.in_outage = True
         self._lost_at = now
         LOG.warning(
             "log lost",
@@ -392,7 +394,7 @@
         now = steadyclock.read()
         end = self.get_end(found)
         records = self.count_records(found)
-        if records or self._doubted or self.lost:
+        if records or self._doubted or self.in_outage:
             LOG.info(
                 "log read",
                 extra={
@@ -403,8 +405,8 @@
                     "waited_s": _round_age(self._asked_at, now),
                 },
             )
-        if self.lost:
-            self.lost = False
+        if self.in_outage:
+            self.in_outage = False
             away_s = round(now - self._lost_at, 3)
             LOG.info(
                 "log regained",
--- a/ramptray/log/vmlist.py
+++ b/ramptray/log/vmlist.py
@@ -74,7 +74,7 @@
             raise log_client.PlatformError(
                 f"{self._url}: status {response.status}"
             )
-        answer = log_client.decode_answer(response, self._url)
+        answer = log_client.decode_response(response, self._url)
         try:
             self._vms = msgspec.convert(answer, list[Vm])
         except msgspec.ValidationError as error:
--- a/ramptray/peer/attachment.py
+++ b/ramptray/peer/attachment.py
@@ -16,30 +16,30 @@
 
 LOG = logging.getLogger(__name__)
 
-RECONNECT_S = 0.2
-QUEUE_MESSAGES = 50_000
+RECONNECT_DELAY_S = 0.2
+MAX_QUEUED_MESSAGES = 50_000
 
 
-class Up(msgspec.Struct, frozen=True):
+class LinkOpened(msgspec.Struct, frozen=True):
     """The link to a scheduler is open and nothing was sent on it yet."""
 
     address: str
 
 
-class Down(msgspec.Struct, frozen=True):
+class LinkClosed(msgspec.Struct, frozen=True):
     """The link to a scheduler is broken; what was queued is dropped."""
 
     address: str
 
 
-class Said(msgspec.Struct, frozen=True):
+class MessageReceived(msgspec.Struct, frozen=True):
     """A scheduler has sent a message."""
 
     address: str
     body: Any
 
 
-Event = Up | Down | Said
+Event = LinkOpened | LinkClosed | MessageReceived
 
 
 class Attachment:
@@ -88,8 +88,8 @@
                 except* peer_link.LinkError as group:
                     LOG.debug("link down: %s", group.exceptions[0])
                 self._queue = None
-                self._report(Down(self.address))
-                await anyio.sleep(RECONNECT_S)
+                self._report(LinkClosed(self.address))
+                await anyio.sleep(RECONNECT_DELAY_S)
 
     async def _hold(self) -> None:
         async with self._client.attach(self.address) as opened:
@@ -97,19 +97,19 @@
             # The scheduler answers a greeting at once with what it knows.
             first = await opened.receive()
             send, receive = anyio.create_memory_object_stream[Any](
-                QUEUE_MESSAGES
+                MAX_QUEUED_MESSAGES
             )
             self._queue = send
-            self._report(Up(self.address))
-            self._report(Said(self.address, first))
+            self._report(LinkOpened(self.address))
+            self._report(MessageReceived(self.address, first))
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._read, opened)
                 async for body in receive:
-                    waiting = peer_link.take_waiting(body, receive)
+                    waiting = peer_link.drain_queue(body, receive)
                     await opened.send(*waiting)
                 raise peer_link.LinkError(f"{self.address}: queue overflow")
 
-    async def _read(self, opened: peer_link.AnyLink) -> None:
+    async def _read(self, opened: peer_link.Link) -> None:
         while True:
             body = await opened.receive()
-            self._report(Said(self.address, body))
+            self._report(MessageReceived(self.address, body))
--- a/ramptray/peer/link.py
+++ b/ramptray/peer/link.py
@@ -24,21 +24,21 @@
 
 from ramptray import settings, steadyclock
 from ramptray.core import clock
-from ramptray.peer import codec, credentials, gate
+from ramptray.peer import codec, credentials, peer_filter
 
 LOG = logging.getLogger(__name__)
 
 SERVICE = "ramptray.Peer"
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-IDLE_S = 15.0
+IDLE_TIMEOUT_S = 15.0
 """How long a channel is kept on which nothing is asked, in seconds: neighbours
 are probed every four seconds, and the others of hundreds only by chance.  A
 connection to each would cost descriptors and memory on either side."""
 
-FRAME_MESSAGES = 64
+MAX_FRAME_MESSAGES = 64
 """Messages of one frame at most."""
 
-QUEUE_FRAMES = 10_000
+MAX_QUEUED_MESSAGES = 10_000
 """Messages that may wait for a slow peer before its link is cut."""
 
 OPTIONS = [
@@ -60,7 +60,7 @@
 """How channels are kept: both ends find a silent peer within 2.5 s."""
 
 
-BROKEN = (
+CONNECTION_ERRORS = (
     grpc.aio.AioRpcError,
     grpc.aio.UsageError,
     grpc.RpcError,
@@ -78,7 +78,9 @@
     """One attached peer, as the serving side sees it."""
 
     def __init__(self) -> None:
-        send, receive = anyio.create_memory_object_stream[Any](QUEUE_FRAMES)
+        send, receive = anyio.create_memory_object_stream[Any](
+            MAX_QUEUED_MESSAGES
+        )
         self._send = send
         self.outgoing: memory.MemoryObjectReceiveStream[Any] = receive
 
@@ -97,7 +99,7 @@
         self._send.close()
 
 
-class Servant(abc.ABC):
+class Handler(abc.ABC):
     """What a serving process does with its peers' messages."""
 
     @abc.abstractmethod
@@ -113,33 +115,33 @@
         """An attached peer has gone."""
 
     @abc.abstractmethod
-    async def answer(self, question: Any) -> Any:
+    async def answer(self, request: Any) -> Any:
         """Returns the answer to one question."""
 
 
-class _Shared(msgspec.Struct):
+class _SharedChannel(msgspec.Struct):
     """The channel that all questions to one peer share.
 
     Attributes:
         channel: The channel.
         ask: Sends a question on it.
-        underway: Questions that wait for their answer.
+        pending: Questions that wait for their answer.
         used_at: When the last one ended.
     """
 
     channel: grpc.aio.Channel
     ask: Any
-    underway: int = 0
+    pending: int = 0
     used_at: float = 0.0
 
     @contextlib.contextmanager
     def use(self) -> Iterator[None]:
-        """Counts a question while it is underway."""
-        self.underway += 1
+        """Counts a question while it is pending."""
+        self.pending += 1
         try:
             yield
         finally:
-            self.underway -= 1
+            self.pending -= 1
             self.used_at = steadyclock.read()
 
 
@@ -150,50 +152,50 @@
         self,
         hybrid_clock: clock.HybridClock,
         tls: settings.TlsSettings | None,
-        opened_gate: gate.Gate | None = None,
+        allowed_peers: peer_filter.PeerFilter | None = None,
     ) -> None:
         self._clock = hybrid_clock
         self._tls = tls
-        self._gate = opened_gate or gate.OpenGate()
-        self._channels: dict[str, _Shared] = {}
-        self._servants: dict[str, Servant] = {}
+        self._allowed_peers = allowed_peers or peer_filter.AllowAllPeers()
+        self._channels: dict[str, _SharedChannel] = {}
+        self._handlers: dict[str, Handler] = {}
         self.asked_bytes = 0
 
-    def serve_locally(self, address: str, servant: Servant) -> None:
+    def serve_locally(self, address: str, handler: Handler) -> None:
         """Attaches to this address without a socket: it is this process."""
-        self._servants[address] = servant
+        self._handlers[address] = handler
 
-    async def ask(self, address: str, question: Any, timeout_s: float) -> Any:
+    async def ask(self, address: str, request: Any, timeout_s: float) -> Any:
         """Returns the peer's answer.
 
         Raises:
             LinkError: There was no answer in time.
         """
-        _check(address, self._gate)
+        _check_allowed(address, self._allowed_peers)
         shared = self._share_channel(address)
-        data = codec.encode(self._clock.tick(), question)
+        data = codec.encode(self._clock.tick(), request)
         try:
             with shared.use():
-                async with _turn_cancellation(address):
+                async with _translate_cancellation(address):
                     answer = await shared.ask(data, timeout=timeout_s)
             self.asked_bytes += len(data) + len(answer)
             frame = codec.decode(answer)
             body = frame.body
-        except (*BROKEN, codec.CodecError) as error:
+        except (*CONNECTION_ERRORS, codec.CodecError) as error:
             raise LinkError(f"{address}: {_describe(error)}") from error
         self._clock.witness(frame.clock)
         return body
 
     @contextlib.asynccontextmanager
-    async def attach(self, address: str) -> AsyncIterator[AnyLink]:
+    async def attach(self, address: str) -> AsyncIterator[Link]:
         """Opens a link; it is cut when the context ends.
 
         Raises:
             LinkError: The peer cannot be reached.
         """
-        if address in self._servants:
+        if address in self._handlers:
             async with _attach_locally(
-                address, self._servants[address]
+                address, self._handlers[address]
             ) as opened:
                 yield opened
             return
@@ -203,7 +205,7 @@
             call: Any = channel.stream_stream(f"/{SERVICE}/Attach")(
                 wait_for_ready=False
             )
-            yield Link(address, call, self._clock, self._gate)
+            yield GrpcLink(address, call, self._clock, self._allowed_peers)
         finally:
             with anyio.CancelScope(shield=True):
                 await channel.close()
@@ -226,18 +228,18 @@
             now: The time, in seconds.
         """
         for address, shared in list(self._channels.items()):
-            if not shared.underway and now - shared.used_at > IDLE_S:
-                await self.forget(address)
+            if not shared.pending and now - shared.used_at > IDLE_TIMEOUT_S:
+                await self.close_channel(address)
 
-    async def forget(self, address: str) -> None:
+    async def close_channel(self, address: str) -> None:
         """Closes the channel to a peer; the next question opens another."""
         if shared := self._channels.pop(address, None):
             await shared.channel.close()
 
-    def _share_channel(self, address: str) -> _Shared:
+    def _share_channel(self, address: str) -> _SharedChannel:
         if address not in self._channels:
             channel = self._open_channel(address)
-            self._channels[address] = _Shared(
+            self._channels[address] = _SharedChannel(
                 channel, channel.unary_unary(f"/{SERVICE}/Ask")
             )
         return self._channels[address]
@@ -253,7 +255,7 @@
         )
 
 
-class AnyLink(abc.ABC):
+class Link(abc.ABC):
     """The attaching side of a stream of messages."""
 
     address: str
@@ -275,18 +277,18 @@
         """
 
 
-class LocalLink(AnyLink):
-    """A link to a servant of the same process."""
+class LocalLink(Link):
+    """A link to a handler of the same process."""
 
-    def __init__(self, address: str, session: Session, servant: Servant):
+    def __init__(self, address: str, session: Session, handler: Handler):
         self.address = address
         self._session = session
-        self._servant = servant
+        self._handler = handler
 
     async def send(self, *bodies: Any) -> None:
         """See the base class."""
         for body in bodies:
-            await self._servant.receive(self._session, body)
+            await self._handler.receive(self._session, body)
 
     async def receive(self) -> Any:
         """See the base class."""
@@ -298,19 +300,19 @@
 
 @contextlib.asynccontextmanager
 async def _attach_locally(
-    address: str, servant: Servant
+    address: str, handler: Handler
 ) -> AsyncIterator[LocalLink]:
     session = Session()
-    await servant.open(session)
+    await handler.open(session)
     try:
-        yield LocalLink(address, session, servant)
+        yield LocalLink(address, session, handler)
     finally:
         session.close()
         with anyio.CancelScope(shield=True):
-            await servant.close(session)
+            await handler.close(session)
 
 
-class Link(AnyLink):
+class GrpcLink(Link):
     """A link over gRPC."""
 
     def __init__(
@@ -318,22 +320,22 @@
         address: str,
         call: Any,
         hybrid_clock: clock.HybridClock,
-        opened_gate: gate.Gate,
+        allowed_peers: peer_filter.PeerFilter,
     ) -> None:
         self.address = address
         self._call = call
-        self._gate = opened_gate
+        self._allowed_peers = allowed_peers
         self._clock = hybrid_clock
         self._received: collections.deque[Any] = collections.deque()
 
     async def send(self, *bodies: Any) -> None:
         """See the base class."""
-        _check(self.address, self._gate)
+        _check_allowed(self.address, self._allowed_peers)
         data = codec.encode(self._clock.tick(), *bodies)
         try:
-            async with _turn_cancellation(self.address):
+            async with _translate_cancellation(self.address):
                 await self._call.write(data)
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             raise LinkError(f"{self.address}: {_describe(error)}") from error
 
     async def receive(self) -> Any:
@@ -344,11 +346,11 @@
 
     async def _read_frame(self) -> list[Any]:
         try:
-            async with _turn_cancellation(self.address):
+            async with _translate_cancellation(self.address):
                 data = await self._call.read()
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             raise LinkError(f"{self.address}: {_describe(error)}") from error
-        _check(self.address, self._gate)
+        _check_allowed(self.address, self._allowed_peers)
         if data is grpc.aio.EOF:
             raise LinkError(f"{self.address}: the peer ended the link")
         try:
@@ -359,7 +361,7 @@
         return frame.bodies
 
 
-def take_waiting(
+def drain_queue(
     first: Any, queue: memory.MemoryObjectReceiveStream[Any]
 ) -> list[Any]:
     """Returns a message and those that wait behind it, for one frame.
@@ -374,13 +376,13 @@
     """
     bodies = [first]
     with contextlib.suppress(anyio.WouldBlock, anyio.EndOfStream):
-        while len(bodies) < FRAME_MESSAGES:
+        while len(bodies) < MAX_FRAME_MESSAGES:
             bodies.append(queue.receive_nowait())
     return bodies
 
 
 @contextlib.asynccontextmanager
-async def _turn_cancellation(address: str) -> AsyncIterator[None]:
+async def _translate_cancellation(address: str) -> AsyncIterator[None]:
     """Turns a call's own cancellation into an error of the link.
 
     grpc raises ``CancelledError`` when a call was cancelled, by whomever.  To
@@ -399,8 +401,8 @@
         raise LinkError(f"{address}: the call was cancelled") from error
 
 
-def _check(address: str, opened_gate: gate.Gate) -> None:
-    if not opened_gate.allows(address):
+def _check_allowed(address: str, allowed_peers: peer_filter.PeerFilter) -> None:
+    if not allowed_peers.allows(address):
         raise LinkError(f"{address}: cut off")
 
 
--- a/ramptray/peer/gate.py
+++ b/ramptray/peer/peer_filter.py
@@ -7,7 +7,7 @@
 import pathlib
 
 
-class Gate(abc.ABC):
+class PeerFilter(abc.ABC):
     """Returns whether a peer can be reached."""
 
     @abc.abstractmethod
@@ -15,7 +15,7 @@
         """Returns whether messages to and from an address get through."""
 
 
-class OpenGate(Gate):
+class AllowAllPeers(PeerFilter):
     """Lets everything through."""
 
     def allows(self, address: str) -> bool:
@@ -23,7 +23,7 @@
         return True
 
 
-class FileGate(Gate):
+class FilePeerFilter(PeerFilter):
     """Cuts off the addresses that a file lists, for failure tests.
 
     Args:
@@ -47,6 +47,8 @@
         return address not in self._cut
 
 
-def make_gate(cut_file: str | None) -> Gate:
+def make_peer_filter(cut_file: str | None) -> PeerFilter:
     """Returns the gate that the settings ask for."""
-    return FileGate(pathlib.Path(cut_file)) if cut_file else OpenGate()
+    return (
+        FilePeerFilter(pathlib.Path(cut_file)) if cut_file else AllowAllPeers()
+    )
--- a/ramptray/peer/server.py
+++ b/ramptray/peer/server.py
@@ -22,11 +22,11 @@
 
     def __init__(
         self,
-        servant: link.Servant,
+        handler: link.Handler,
         hybrid_clock: clock.HybridClock,
         tls: settings.TlsSettings | None,
     ) -> None:
-        self._servant = servant
+        self._handler = handler
         self._clock = hybrid_clock
         self._tls = tls
         self._server: grpc.aio.Server | None = None
@@ -69,22 +69,22 @@
         context: grpc.aio.ServicerContext[bytes, bytes],
     ) -> None:
         session = link.Session()
-        await self._servant.open(session)
+        await self._handler.open(session)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._read, session, frames)
                 async for body in session.outgoing:
-                    bodies = link.take_waiting(body, session.outgoing)
+                    bodies = link.drain_queue(body, session.outgoing)
                     await context.write(
                         codec.encode(self._clock.tick(), *bodies)
                     )
                 tasks.cancel_scope.cancel()
-        except* link.BROKEN as group:
+        except* link.CONNECTION_ERRORS as group:
             LOG.info("attached peer lost: %r", group.exceptions[0])
         finally:
             session.close()
             with anyio.CancelScope(shield=True):
-                await self._servant.close(session)
+                await self._handler.close(session)
 
     async def _read(
         self, session: link.Session, frames: AsyncIterator[bytes]
@@ -94,7 +94,7 @@
                 frame = codec.decode(data)
                 self._clock.witness(frame.clock)
                 for body in frame.bodies:
-                    await self._servant.receive(session, body)
+                    await self._handler.receive(session, body)
         finally:
             session.close()
 
@@ -107,5 +107,5 @@
         except codec.CodecError as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
         self._clock.witness(frame.clock)
-        answer = await self._servant.answer(question)
+        answer = await self._handler.answer(question)
         return codec.encode(self._clock.tick(), answer)
--- a/ramptray/platform/follower.py
+++ b/ramptray/platform/follower.py
@@ -134,7 +134,7 @@
     @property
     def log_up(self) -> bool:
         """See the base class."""
-        return not any(reader.lost for reader in self._readers)
+        return not any(reader.in_outage for reader in self._readers)
 
     def get_log_age(self, now: float) -> float | None:
         """See the base class."""
@@ -148,8 +148,8 @@
     def update_stream_ends(self, ends: Mapping[str, int]) -> None:
         """See the base class."""
         for reader in self._readers:
-            reader.note_told(ends.get(reader.stream, 0))
-            reader.check_underway()
+            reader.update_known_end(ends.get(reader.stream, 0))
+            reader.check_pending_read()
         if self._is_unsettled():
             self._hurry.set()
             self._distributor.wake()
@@ -192,7 +192,7 @@
     def set_on_stream_advance(self, on_advance: Callable[[], None]) -> None:
         """See the base class."""
         for reader in self._readers:
-            reader.on_news = on_advance
+            reader.on_advance = on_advance
 
     def accept_from_peer(
         self, address: str, fetched: peer_message.FetchedBundle
@@ -265,7 +265,7 @@
 
     def _take_replicas(self, changes: store.Changes, whole: bool) -> None:
         now = steadyclock.read()
-        if self._replicas.lost:
+        if self._replicas.in_outage:
             self._book.note_return(now)
         if whole:
             self._book.take_all(changes.records, now, changes.end)
@@ -291,7 +291,7 @@
         return (
             self._book.is_waiting
             or self._evacuations.is_waiting
-            or any(reader.lacks_records for reader in self._readers)
+            or any(reader.is_behind for reader in self._readers)
         )
 
     async def _tick(self) -> None:
@@ -302,7 +302,7 @@
                 with anyio.move_on_after(IDLE_TICK_S - TICK_S):
                     await self._hurry.wait()
             for reader in self._readers:
-                reader.check_underway()
+                reader.check_pending_read()
             now = steadyclock.read()
             replicas_gone = self._book.expire(now)
             evacuations_ended = self._evacuations.expire(now)
--- a/ramptray/platform/store.py
+++ b/ramptray/platform/store.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ramptray.log import error as log_error
-from ramptray.log import keyedstream, repetition
+from ramptray.log import hedging, keyedstream
 from ramptray.log import reader as log_reader
 from ramptray.platform import page, place
 
@@ -125,7 +125,7 @@
             if after is not None:
                 query["after"] = after
             reply = await self._ask(
-                NEWEST_PATH, query, log_reader.CALL_S, on_bytes
+                NEWEST_PATH, query, log_reader.CALL_TIMEOUT_S, on_bytes
             )
             if generation not in (None, reply.generation):
                 raise StoreError("the store came back older between two pages")
@@ -151,7 +151,7 @@
         topic: str,
         offset: int,
         wait_s: float = WAIT_S,
-        timeout_s: float = WAIT_S + log_reader.ANSWER_S,
+        timeout_s: float = WAIT_S + log_reader.RESPONSE_MARGIN_S,
         on_bytes: OnBytes = _note_nothing,
     ) -> Changes:
         """Returns records from an offset on, waiting if there are none.
@@ -203,7 +203,7 @@
         await self._ask(
             APPEND_PATH,
             query,
-            log_reader.CALL_S,
+            log_reader.CALL_TIMEOUT_S,
             _note_nothing,
             page.LENGTH.pack(len(record)) + record,
         )
@@ -231,7 +231,7 @@
             with anyio.move_on_after(timeout_s) as scope:
 
                 def extend() -> None:
-                    stalls_at = anyio.current_time() + repetition.STALL_S
+                    stalls_at = anyio.current_time() + hedging.STALL_TIMEOUT_S
                     scope.deadline = max(scope.deadline, stalls_at)
                     on_bytes()
 
--- a/ramptray/platform/topic.py
+++ b/ramptray/platform/topic.py
@@ -32,7 +32,7 @@
         take_changes: TakeChanges,
         on_trouble: Callable[[], None],
     ) -> None:
-        super().__init__(topic, store.WAIT_S, is_told=True)
+        super().__init__(topic, store.WAIT_S, follows_peers=True)
         self.mirror = mirror.Mirror()
         self._store = opened
         self._take_changes = take_changes
@@ -40,19 +40,19 @@
 
     async def read_first(self) -> store.Changes:
         """See the base class."""
-        return await self._store.read_newest(self.stream, self.note_progress)
+        return await self._store.read_newest(self.stream, self.record_progress)
 
-    async def read_on(
+    async def read_from(
         self, offset: int, wait_s: float, timeout_s: float
     ) -> store.Changes:
         """See the base class."""
         return await self._store.read_changes(
-            self.stream, offset, wait_s, timeout_s, self.note_progress
+            self.stream, offset, wait_s, timeout_s, self.record_progress
         )
 
-    async def take(self, page: store.Changes, first: bool) -> None:
+    async def apply_page(self, page: store.Changes, first: bool) -> None:
         """See the base class."""
-        self.mirror.take(page, first)
+        self.mirror.apply(page, first)
         self._take_changes(page, first)
 
     def get_end(self, page: store.Changes) -> int:
@@ -63,6 +63,6 @@
         """See the base class."""
         return len(page.records)
 
-    def note_trouble(self) -> None:
+    def record_outage(self) -> None:
         """See the base class."""
         self._on_trouble()
--- a/ramptray/runtime.py
+++ b/ramptray/runtime.py
@@ -7,8 +7,8 @@
 from ramptray import process, timeline, wallclock
 from ramptray import settings as settings_module
 from ramptray.core import clock
-from ramptray.peer import gate
 from ramptray.peer import link as peer_link
+from ramptray.peer import peer_filter
 
 
 class Runtime(msgspec.Struct, frozen=True):
@@ -73,5 +73,7 @@
     events = timeline.Timeline(
         name, zone, hybrid_clock, log_events, ring_events
     )
-    client = peer_link.PeerClient(hybrid_clock, tls, gate.make_gate(cut_file))
+    client = peer_link.PeerClient(
+        hybrid_clock, tls, peer_filter.make_peer_filter(cut_file)
+    )
     return Runtime(name, hybrid_clock, events, client)
--- a/ramptray/scheduler/claims.py
+++ b/ramptray/scheduler/claims.py
@@ -55,10 +55,10 @@
         stream: str,
         on_page: Callable[[log_client.Page], None],
     ) -> None:
-        super().__init__(log, stream, LONG_POLL_WAIT_S, gather_s=0.0)
+        super().__init__(log, stream, LONG_POLL_WAIT_S, batch_delay_s=0.0)
         self._apply_page = on_page
 
-    async def take(self, page: log_client.Page, first: bool) -> None:
+    async def apply_page(self, page: log_client.Page, first: bool) -> None:
         """See the base class."""
         self._apply_page(page)
 
@@ -202,7 +202,7 @@
             else:
                 del partition.outbox[: len(batch)]
                 # Lets the reader detect that its pending read was lost.
-                partition.reader.note_told(offset + 1)
+                partition.reader.update_known_end(offset + 1)
             if partition.outbox:
                 partition.wake.set()
 
@@ -252,7 +252,7 @@
             await anyio.sleep(TICK_INTERVAL_S)
             expires_before = steadyclock.read() - CLAIM_TIMEOUT_S
             for partition in list(self._partitions.values()):
-                partition.reader.check_underway()
+                partition.reader.check_pending_read()
                 for pending in list(partition.pending.values()):
                     if pending.since < expires_before:
                         self._expire(partition, pending)
--- a/ramptray/scheduler/distributor.py
+++ b/ramptray/scheduler/distributor.py
@@ -223,7 +223,7 @@
         for name, each in self._streams.items():
             if each.reader.end is None:
                 continue
-            update = each.mirror.tell(name, request.ends.get(name, -1))
+            update = each.mirror.make_update(name, request.ends.get(name, -1))
             update = msgspec.structs.replace(
                 update,
                 age_s=now - each.reader.fresh_at,
@@ -299,7 +299,7 @@
 
     def _get_lag_s(self, now: float) -> float:
         """Returns for how many seconds known records have been missing."""
-        return max(e.reader.get_lack_s(now) for e in self._streams.values())
+        return max(e.reader.get_lag_s(now) for e in self._streams.values())
 
     async def fetch_updates(self, address: str, wait_s: float = 0.0) -> bool:
         """Requests updates from a VM and applies them.
@@ -354,7 +354,9 @@
         self._damaged_streams.discard(update.stream)
         self.on_outage(LogOutage(update.trouble_s, update.returned_s))
         fresh_at = received_at - max(0.0, update.age_s)
-        await each.reader.take_told(changes, update.whole, fresh_at, address)
+        await each.reader.apply_peer_page(
+            changes, update.whole, fresh_at, address
+        )
         is_new = fresh_at > self._updated_at[update.stream]
         self._updated_at[update.stream] = max(
             self._updated_at[update.stream], fresh_at
@@ -393,7 +395,7 @@
 
     def _get_next_check_at(self) -> float:
         """Returns when to check again whether to read the log itself."""
-        if any(e.reader.lacks_records for e in self._streams.values()):
+        if any(e.reader.is_behind for e in self._streams.values()):
             return 0.0
         return self._get_takeover_at()
 
--- a/ramptray/scheduler/follower.py
+++ b/ramptray/scheduler/follower.py
@@ -65,7 +65,7 @@
             self.stream, self._follower.next_offset, 0.0
         )
 
-    async def take(self, page: log_client.Page, first: bool) -> None:
+    async def apply_page(self, page: log_client.Page, first: bool) -> None:
         """See the base class."""
         await self._follower.apply_page(page)
 
@@ -114,7 +114,7 @@
     def log_up(self) -> bool:
         """See the base class."""
         answered = self._reader.answered_at is not None
-        return answered and not self._reader.lost
+        return answered and not self._reader.in_outage
 
     def get_log_age(self, now: float) -> float | None:
         """Returns the seconds since the log last answered, None for never.
@@ -130,8 +130,8 @@
 
     def update_stream_ends(self, ends: Mapping[str, int]) -> None:
         """See the base class."""
-        self._reader.note_told(ends.get(self._reader.stream, 0))
-        self._reader.check_underway()
+        self._reader.update_known_end(ends.get(self._reader.stream, 0))
+        self._reader.check_pending_read()
 
     def set_watching(self, watching: bool) -> None:
         """See the base class."""
@@ -139,7 +139,7 @@
 
     def set_on_stream_advance(self, on_advance: Callable[[], None]) -> None:
         """See the base class."""
-        self._reader.on_news = on_advance
+        self._reader.on_advance = on_advance
 
     async def run(self) -> None:
         """Follows the log until cancelled."""
@@ -150,7 +150,7 @@
     async def _check_reads(self) -> None:
         while True:
             await anyio.sleep(READ_CHECK_INTERVAL_S)
-            self._reader.check_underway()
+            self._reader.check_pending_read()
 
     def accept_from_peer(
         self, address: str, answer: peer_message.FetchedBundle
--- a/ramptray/scheduler/handler.py
+++ b/ramptray/scheduler/handler.py
@@ -18,7 +18,7 @@
 """Maximum number of attached processes whose events are buffered."""
 
 
-class SchedulerHandler(peer_link.Servant):
+class SchedulerHandler(peer_link.Handler):
     """Passes attached processes' messages to the hub and answers requests."""
 
     def __init__(
--- a/test/test_attachment.py
+++ b/test/test_attachment.py
@@ -15,7 +15,7 @@
 from ramptray import settings
 from ramptray.command import keys
 from ramptray.core import clock
-from ramptray.peer import attachment, gate
+from ramptray.peer import attachment, peer_filter
 from ramptray.peer import link as peer_link
 from ramptray.peer import message as peer_message
 from ramptray.peer import server as peer_server
@@ -30,7 +30,7 @@
     return "asyncio"
 
 
-class Greeter(peer_link.Servant):
+class Greeter(peer_link.Handler):
     """Answers each greeting with an empty view."""
 
     def __init__(self) -> None:
@@ -96,7 +96,7 @@
     """Waits until a link is up; fails if that takes long."""
     with anyio.fail_after(LONG_S):
         async for event in events:
-            if isinstance(event, attachment.Up):
+            if isinstance(event, attachment.LinkOpened):
                 return
 
 
@@ -149,11 +149,11 @@
 
 
 def test_a_stream_that_ended_just_before_breaks_only_the_link() -> None:
-    made = peer_link.Link(
+    made = peer_link.GrpcLink(
         "127.0.0.1:1",
         _EndedCall(),
         clock.HybridClock(lambda: 0),
-        gate.OpenGate(),
+        peer_filter.AllowAllPeers(),
     )
 
     async def use() -> None:
--- a/test/test_channels.py
+++ b/test/test_channels.py
@@ -27,9 +27,9 @@
     async with serve(Greeter()) as (address, client):
         await client.ask(address, QUESTION, 5.0)
         now = steadyclock.read()
-        await client.close_idle(now + peer_link.IDLE_S / 2)
+        await client.close_idle(now + peer_link.IDLE_TIMEOUT_S / 2)
         assert client.channel_count == 1
-        await client.close_idle(now + peer_link.IDLE_S * 2)
+        await client.close_idle(now + peer_link.IDLE_TIMEOUT_S * 2)
         assert client.channel_count == 0
         await client.ask(address, QUESTION, 5.0)
 
@@ -41,6 +41,8 @@
     ):
         tasks.start_soon(client.ask, address, QUESTION, 60.0)
         await anyio.sleep(0.3)
-        await client.close_idle(steadyclock.read() + peer_link.IDLE_S * 2)
+        await client.close_idle(
+            steadyclock.read() + peer_link.IDLE_TIMEOUT_S * 2
+        )
         assert client.channel_count == 1
         tasks.cancel_scope.cancel()
--- a/test/test_dispatcher.py
+++ b/test/test_dispatcher.py
@@ -72,7 +72,7 @@
     members = [membership.Member("waw-a-vm1", "waw-a", OURS, 1)]
     others = [membership.Member("waw-b-vm1", "waw-b", OTHER, 1)]
     view = peer_message.View(members, others)
-    made.hear(attachment.Said(OURS, view))
+    made.hear(attachment.MessageReceived(OURS, view))
     info = message.RequestInfo(
         "r1", message.ShardKey("waw-a", "s"), "c", "t", 1, 1, (), 60.0
     )
@@ -84,8 +84,8 @@
     desk: Desk,
 ) -> None:
     redirect = message.Redirect("r1", "waw-b", OTHER)
-    desk.hear(attachment.Said(OURS, redirect))
-    desk.hear(attachment.Down(OTHER))
+    desk.hear(attachment.MessageReceived(OURS, redirect))
+    desk.hear(attachment.LinkClosed(OTHER))
     assert desk.get_enqueued() == [
         (OURS, "waw-a"),
         (OTHER, "waw-b"),
@@ -96,15 +96,15 @@
 def test_a_zone_without_a_scheduler_is_served_by_another_zone_s(
     desk: Desk,
 ) -> None:
-    desk.hear(attachment.Down(OURS))
+    desk.hear(attachment.LinkClosed(OURS))
     assert desk.get_enqueued() == [(OURS, "waw-a"), (OTHER, "waw-a")]
 
 
 def test_a_request_that_nobody_can_decide_on_is_refused_soon(
     desk: Desk,
 ) -> None:
-    desk.hear(attachment.Down(OURS))
-    desk.hear(attachment.Down(OTHER), now=2.0)
+    desk.hear(attachment.LinkClosed(OURS))
+    desk.hear(attachment.LinkClosed(OTHER), now=2.0)
     desk.tick(2.0 + patience.NO_OWNER_S - 0.1)
     assert desk.request_count == 1
     desk.tick(2.0 + patience.NO_OWNER_S + 0.1)
@@ -115,7 +115,7 @@
     desk: Desk,
 ) -> None:
     grant = message.Grant("gone", "g", "e", OURS)
-    desk.hear(attachment.Said(OURS, grant))
+    desk.hear(attachment.MessageReceived(OURS, grant))
     assert desk.sent[-1] == (OURS, message.Decline("gone", "g"))
 
 
@@ -148,7 +148,7 @@
 ) -> None:
     speed = message.Speed(40_000.0, 0.006)
     grant = message.Grant("r1", "g", "e", OTHER, speed=speed)
-    desk.hear(attachment.Said(OTHER, grant))
+    desk.hear(attachment.MessageReceived(OTHER, grant))
     assert desk.sent[-1] == (OURS, message.SpeedLearned("e", speed))
 
 
@@ -175,7 +175,9 @@
         "waw-a-vm1", "waw-a", OURS, 1, availability_zone="a"
     )
     far = membership.Member("far-vm", "waw-a", OTHER, 1, availability_zone="b")
-    desk.hear(attachment.Said(OURS, peer_message.View([near, far], [])))
+    desk.hear(
+        attachment.MessageReceived(OURS, peer_message.View([near, far], []))
+    )
     return distrusted
 
 
@@ -187,7 +189,7 @@
     near = membership.Member(
         "waw-a-vm1", "waw-a", OURS, 1, availability_zone="a"
     )
-    desk.hear(attachment.Said(OURS, peer_message.View([near], [])))
+    desk.hear(attachment.MessageReceived(OURS, peer_message.View([near], [])))
     assert distrusted == [["10.0.0.2:1"]]
     assert desk.network.reachable_part == 0.5
 
@@ -241,7 +243,10 @@
     now = ticket.began
     for event in desk._mailbox.take_waiting():
         desk._handle(event, now)
-    desk.hear(attachment.Said(OURS, message.Grant("r2", "g", "e", OURS)), now)
+    desk.hear(
+        attachment.MessageReceived(OURS, message.Grant("r2", "g", "e", OURS)),
+        now,
+    )
     ended = message.Ended("r2", 2, 1.6, False, broken=True)
     failed = tickets.AttemptFailed(ended, False, message.Reason.BACKEND_LOST)
     desk._handle(failed, now + 1.6)
--- a/test/test_distributor.py
+++ b/test/test_distributor.py
@@ -63,7 +63,7 @@
     """Reads the stream for one VM."""
 
     def __init__(self, vm: str, log: Log) -> None:
-        super().__init__(STREAM, 20.0, gather_s=0.0, is_told=True)
+        super().__init__(STREAM, 20.0, batch_delay_s=0.0, follows_peers=True)
         self.mirror = mirror.Mirror()
         self._vm = vm
         self._log = log
@@ -71,13 +71,13 @@
     async def read_first(self) -> keyedstream.Changes:
         return await self._log.read(self._vm, 0, 0.0)
 
-    async def read_on(
+    async def read_from(
         self, offset: int, wait_s: float, timeout_s: float
     ) -> keyedstream.Changes:
         return await self._log.read(self._vm, offset, wait_s)
 
-    async def take(self, page: keyedstream.Changes, first: bool) -> None:
-        self.mirror.take(page, first)
+    async def apply_page(self, page: keyedstream.Changes, first: bool) -> None:
+        self.mirror.apply(page, first)
 
     def get_end(self, page: keyedstream.Changes) -> int:
         return page.end
@@ -255,7 +255,7 @@
         deployment.frozen = {vm.distributor._primary_source.partition(":")[0]}
         deployment.log.calls.clear()
         deployment.log.write("a", b"2")
-        vm.reader.note_told(2)
+        vm.reader.update_known_end(2)
         vm.distributor.wake()
         with anyio.fail_after(TAKEOVER_LIMIT_S):
             while not vm.knows(2):
@@ -289,5 +289,5 @@
         deployment.frozen = set(deployment.list_readers())
         (follower,) = set(deployment.vms) - deployment.frozen
         deployment.log.write("a", b"2")
-        deployment.vms[follower].reader.note_told(2)
+        deployment.vms[follower].reader.update_known_end(2)
         await deployment.wait_known(2, TAKEOVER_LIMIT_S)
--- a/test/test_follower.py
+++ b/test/test_follower.py
@@ -110,6 +110,8 @@
             assert (await receive.receive()).envelope == test_bundle.FIRST
         second = acceptance.Rollout(test_bundle.SECOND)
         log.records.append(bundle_record.format_record(second))
-        with anyio.fail_after(reader.WATCH_WAIT_S + 2 * reader.ANSWER_S):
+        with anyio.fail_after(
+            reader.WATCH_WAIT_S + 2 * reader.RESPONSE_MARGIN_S
+        ):
             assert (await receive.receive()).envelope == test_bundle.SECOND
         tasks.cancel_scope.cancel()
--- a/test/test_mirror.py
+++ b/test/test_mirror.py
@@ -23,7 +23,7 @@
 
 def make_mirror(*changes: keyedstream.Change) -> mirror.Mirror:
     made = mirror.Mirror()
-    made.take(keyedstream.Changes(list(changes), len(changes)), True)
+    made.apply(keyedstream.Changes(list(changes), len(changes)), True)
     return made
 
 
@@ -32,15 +32,15 @@
 ) -> peer_message.StreamNews:
     """Brings one mirror up to another; returns what was told."""
     start = -1 if asker.end is None else asker.end
-    news = teller.tell("s", start)
+    news = teller.make_update("s", start)
     sent = codec.decode(codec.encode(0, peer_message.ToldStreams([news])))
     (told,) = sent.body.news
-    asker.take(asker.unpack(told), told.whole)
+    asker.apply(asker.unpack(told), told.whole)
     return news
 
 
 def read_all(held: mirror.Mirror) -> dict[str, bytes | None]:
-    told = held.tell("s", -1)
+    told = held.make_update("s", -1)
     fresh = mirror.Mirror()
     return {c.key: c.value for c in fresh.unpack(told).records}
 
@@ -56,7 +56,7 @@
     assert count_bytes(first) < len(make_large(1)) / 3
     for version in range(2, 5):
         change = keyedstream.Change("config", make_large(version), version - 1)
-        teller.take(keyedstream.Changes([change], version), False)
+        teller.apply(keyedstream.Changes([change], version), False)
     # Three versions later: still the difference of the newest alone.
     assert count_bytes(pass_on(teller, asker)) < 400
     assert read_all(asker) == {"config": make_large(4)}
@@ -66,9 +66,9 @@
     teller = make_mirror(keyedstream.Change("config", make_large(1), 0))
     asker = mirror.Mirror()
     pass_on(teller, asker)
-    for version in range(2, 4 + mirror.KEPT_VALUES):
+    for version in range(2, 4 + mirror.MAX_FORMER_VALUES):
         change = keyedstream.Change("config", make_large(version), version - 1)
-        teller.take(keyedstream.Changes([change], version), False)
+        teller.apply(keyedstream.Changes([change], version), False)
     pass_on(teller, asker)
     assert read_all(asker) == read_all(teller)
 
@@ -79,7 +79,7 @@
     )
     asker = mirror.Mirror()
     pass_on(teller, asker)
-    teller.take(
+    teller.apply(
         keyedstream.Changes([keyedstream.Change("a", None, 2)], 3), False
     )
     told = pass_on(teller, asker)
@@ -94,10 +94,10 @@
     asker = mirror.Mirror()
     pass_on(teller, asker)
     count = 2
-    for number in range(mirror.KEPT_DROPS + 5):
+    for number in range(mirror.MAX_TOMBSTONES + 5):
         key = "a" if number == 0 else f"k{number}"
         change = keyedstream.Change(key, None, count)
-        teller.take(keyedstream.Changes([change], count + 1), False)
+        teller.apply(keyedstream.Changes([change], count + 1), False)
         count += 1
     assert pass_on(teller, asker).whole
     assert read_all(asker) == {"b": b"v"}
@@ -107,8 +107,8 @@
     first = keyedstream.Change("first", b"1", 0)
     teller, asker = make_mirror(first), make_mirror(first)
     config = keyedstream.Change("config", make_large(1), 1)
-    teller.take(keyedstream.Changes([config], 2), False)
-    news = teller.tell("s", 1)
+    teller.apply(keyedstream.Changes([config], 2), False)
+    news = teller.make_update("s", 1)
     (change,) = asker.unpack(news).records
     assert change.value == make_large(1)
     (record,) = news.records
@@ -156,7 +156,7 @@
             continue
         change = keyedstream.Change(step[0], step[1], count)
         count += 1
-        teller.take(keyedstream.Changes([change], count), False)
+        teller.apply(keyedstream.Changes([change], count), False)
 
 
 # Many VMs that start at once.
@@ -191,7 +191,7 @@
 def test_thousands_of_records_fit_a_slow_link_and_are_packed_once() -> None:
     changes = make_replicas(3000)
     teller = make_mirror(*changes)
-    first, second = (teller.tell("s", -1) for _ in range(2))
+    first, second = (teller.make_update("s", -1) for _ in range(2))
     assert first.packed is second.packed
     # A link of 5 Mbit/s carries 200 KB in the time that an answer may take.
     assert count_bytes(first) < 200_000
@@ -200,16 +200,16 @@
 
 def test_a_new_record_is_told_to_who_asks_for_all_after_it() -> None:
     teller = make_mirror(*make_replicas(3))
-    teller.tell("s", -1)
+    teller.make_update("s", -1)
     late = keyedstream.Change("late", b"{}", 3)
-    teller.take(keyedstream.Changes([late], 4), False)
+    teller.apply(keyedstream.Changes([late], 4), False)
     assert read_all(teller)["late"] == b"{}"
-    assert teller.tell("s", -1).end == 4
+    assert teller.make_update("s", -1).end == 4
 
 
 @pytest.mark.parametrize("damage", [b"", b"x", b"\x28\xb5\x2f\xfd\x00"])
 def test_a_damaged_whole_stream_is_not_taken(damage: bytes) -> None:
-    told = make_mirror(*make_replicas(3)).tell("s", -1)
+    told = make_mirror(*make_replicas(3)).make_update("s", -1)
     damaged = msgspec.structs.replace(told, packed=damage)
     with pytest.raises(mirror.MirrorError):
         mirror.Mirror().unpack(damaged)
--- a/test/test_reader.py
+++ b/test/test_reader.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from ramptray.log import client, error, reader, repetition
+from ramptray.log import client, error, hedging, reader
 
 pytestmark = pytest.mark.anyio
 LONGEST_WAIT_S = 20.0
@@ -77,21 +77,21 @@
     """Notes what it has read."""
 
     def __init__(self, log: Log) -> None:
-        super().__init__("s", LONGEST_WAIT_S, gather_s=0.0)
+        super().__init__("s", LONGEST_WAIT_S, batch_delay_s=0.0)
         self._log = log
         self.read_at: dict[int, float] = {}
 
     async def read_first(self) -> client.Page:
         """See the base class."""
-        return await self._log.read(0, 0.0, reader.CALL_S)
+        return await self._log.read(0, 0.0, reader.CALL_TIMEOUT_S)
 
-    async def read_on(
+    async def read_from(
         self, offset: int, wait_s: float, timeout_s: float
     ) -> client.Page:
         """See the base class."""
         return await self._log.read(offset, wait_s, timeout_s)
 
-    async def take(self, page: client.Page, first: bool) -> None:
+    async def apply_page(self, page: client.Page, first: bool) -> None:
         """See the base class."""
         for record in page.records:
             self.read_at.setdefault(record.offset, time.monotonic())
@@ -129,7 +129,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(followed.run)
         await lose_read(log, followed)
-        limit_s = reader.WATCH_WAIT_S + reader.ANSWER_S + 0.2
+        limit_s = reader.WATCH_WAIT_S + reader.RESPONSE_MARGIN_S + 0.2
         await followed.wait_for(2, limit_s)
         tasks.cancel_scope.cancel()
 
@@ -138,16 +138,16 @@
     log = Log()
     followed = Reader(log)
     news: list[float] = []
-    followed.on_news = lambda: news.append(time.monotonic())
+    followed.on_advance = lambda: news.append(time.monotonic())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(followed.run)
         await lose_read(log, followed)
-        await anyio.sleep(reader.SETTLED_S)
+        await anyio.sleep(reader.LOST_READ_AFTER_S)
         assert 2 not in followed.read_at
-        followed.note_told(log.count)
-        followed.check_underway()
-        await anyio.sleep(reader.SETTLED_S + 0.05)
-        followed.check_underway()
+        followed.update_known_end(log.count)
+        followed.check_pending_read()
+        await anyio.sleep(reader.LOST_READ_AFTER_S + 0.05)
+        followed.check_pending_read()
         await followed.wait_for(2, 0.2)
         tasks.cancel_scope.cancel()
     # Those that are told next learn it from here, not from the watcher alone.
@@ -160,13 +160,13 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(followed.run)
         await followed.wait_for(0, 1.0)
-        await anyio.sleep(reader.SETTLED_S)
+        await anyio.sleep(reader.LOST_READ_AFTER_S)
         log.append()
         await followed.wait_for(1, 0.2)
         calls = len(log.calls)
         for end in (1, log.count):
-            followed.note_told(end)
-            followed.check_underway()
+            followed.update_known_end(end)
+            followed.check_pending_read()
         await anyio.sleep(0.1)
         assert len(log.calls) <= calls + 1
         tasks.cancel_scope.cancel()
@@ -180,26 +180,26 @@
     followed = Reader(log)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(followed.run)
-        await anyio.sleep(3 * repetition.REPEAT_S - 0.1)
-        assert followed.lost
+        await anyio.sleep(3 * hedging.HEDGE_DELAY_S - 0.1)
+        assert followed.in_outage
         log.silent = False
         await followed.wait_for(0, 0.3)
         await anyio.sleep(0)
-        assert not followed.lost
+        assert not followed.in_outage
         tasks.cancel_scope.cancel()
     assert len(log.calls) <= 5
 
 
 async def test_a_log_slower_than_the_repeats_is_read_all_the_same() -> None:
     log = Log()
-    log.delay_s = 2 * repetition.REPEAT_S
+    log.delay_s = 2 * hedging.HEDGE_DELAY_S
     followed = Reader(log)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(followed.run)
         await followed.wait_for(0, log.delay_s + 0.2)
         log.append()
         # Told late by a read that waits, or asked for anew.
-        await followed.wait_for(1, 2 * log.delay_s + reader.ANSWER_S)
+        await followed.wait_for(1, 2 * log.delay_s + reader.RESPONSE_MARGIN_S)
         tasks.cancel_scope.cancel()
 
 
@@ -208,22 +208,22 @@
     # repeat made the link slower, and what a peer had read ended sound reads.
     log = Log()
     followed = Reader(log)
-    log.on_bytes = followed.note_progress
-    log.delay_s = 3 * repetition.REPEAT_S
+    log.on_bytes = followed.record_progress
+    log.delay_s = 3 * hedging.HEDGE_DELAY_S
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(followed.run)
-        await anyio.sleep(2 * repetition.REPEAT_S)
-        assert not followed.lost
-        await followed.wait_for(0, 2 * repetition.REPEAT_S)
+        await anyio.sleep(2 * hedging.HEDGE_DELAY_S)
+        assert not followed.in_outage
+        await followed.wait_for(0, 2 * hedging.HEDGE_DELAY_S)
         await anyio.sleep(0.1)
         # One call for each answer, and the read that waits for the next.
         assert len(log.calls) == 2
         log.append()
         await anyio.sleep(0.1)
-        followed.note_told(2)
+        followed.update_known_end(2)
         for _ in range(8):
             await anyio.sleep(0.2)
-            followed.check_underway()
+            followed.check_pending_read()
         await followed.wait_for(1, 2 * log.delay_s)
         await anyio.sleep(0.1)
         assert len(log.calls) == 3
--- a/test/test_replicas.py
+++ b/test/test_replicas.py
@@ -113,8 +113,8 @@
 def hear(book: replicas.ReplicaBook, value: bytes) -> None:
     """Lets a book take all that a peer holds: one record."""
     peer = mirror.Mirror()
-    peer.take(store.Changes([store.Change("i", value)], 1), True)
-    told = mirror.Mirror().unpack(peer.tell("topic", -1))
+    peer.apply(store.Changes([store.Change("i", value)], 1), True)
+    told = mirror.Mirror().unpack(peer.make_update("topic", -1))
     book.take_all(told.records, 1.0)
 
 
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -89,7 +89,9 @@
 def test_a_returned_grant_follows_the_hint_and_is_no_attempt(
     desk: Desk,
 ) -> None:
-    desk.hear(attachment.Said(OURS, message.Grant("r1", "g", "s0", OURS)))
+    desk.hear(
+        attachment.MessageReceived(OURS, message.Grant("r1", "g", "s0", OURS))
+    )
     desk.server_hints.observe(LEAVING, 1.0)
     desk.sent.clear()
     unusable = tickets.GrantUnusable("r1", server_hints.UnusableReason.LEAVING)
--- a/test/test_stopped_link.py
+++ b/test/test_stopped_link.py
@@ -42,12 +42,12 @@
 
 @contextlib.asynccontextmanager
 async def serve(
-    servant: peer_link.Servant,
+    handler: peer_link.Handler,
 ) -> AsyncIterator[tuple[str, peer_link.PeerClient]]:
     """Serves a peer; yields its address and a client for it."""
     hybrid_clock = clock.HybridClock(lambda: 0)
     address = f"127.0.0.1:{ports.reserve_port()}"
-    server = peer_server.PeerServer(servant, hybrid_clock, None)
+    server = peer_server.PeerServer(handler, hybrid_clock, None)
     await server.start(address)
     client = peer_link.PeerClient(hybrid_clock, None)
     try:
@@ -76,7 +76,9 @@
                     address, HELLO, client, send.send_nowait
                 )
                 tasks.start_soon(link.run)
-                assert isinstance(await receive.receive(), attachment.Up)
+                assert isinstance(
+                    await receive.receive(), attachment.LinkOpened
+                )
                 link.stop()
                 beats = await count_beats()
                 tasks.cancel_scope.cancel()
