--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -87,7 +87,9 @@
 def test_returned_grant_is_sent_after_the_hint_and_counts_no_attempt(
     desk: Desk,
 ) -> None:
-    desk.hear(attachment.Said(OURS, message.Grant("r1", "g", "s0", OURS)))
+    desk.hear(
+        attachment.MessageReceived(OURS, message.Grant("r1", "g", "s0", OURS))
+    )
     desk.server_hints.observe(LEAVING, 1.0)
     desk.sent.clear()
     unusable = tickets.GrantUnusable("r1", server_hints.UnusableReason.LEAVING)
