--- a/test/test_stopped_link.py
+++ b/test/test_stopped_link.py
@@ -23,7 +23,7 @@
 from ramptray.peer import link as peer_link
 from ramptray.peer import message as peer_message
 from ramptray.peer import server as peer_server
-from test.test_attachment import HELLO, Greeter
+from test.test_attachment import HELLO, EmptyViewServer
 
 pytestmark = pytest.mark.anyio
 
@@ -33,7 +33,7 @@
     return "asyncio"
 
 
-class Slow(Greeter):
+class Slow(EmptyViewServer):
     """Does not answer questions."""
 
     async def answer(self, question: Any) -> Any:
@@ -42,12 +42,12 @@
 
 @contextlib.asynccontextmanager
 async def serve(
-    servant: peer_link.Servant,
+    handler: peer_link.Handler,
 ) -> AsyncIterator[tuple[str, peer_link.PeerClient]]:
     """Serves a peer; yields its address and a client for it."""
     hybrid_clock = clock.HybridClock(lambda: 0)
     address = f"127.0.0.1:{ports.reserve_port()}"
-    server = peer_server.PeerServer(servant, hybrid_clock, None)
+    server = peer_server.PeerServer(handler, hybrid_clock, None)
     await server.start(address)
     client = peer_link.PeerClient(hybrid_clock, None)
     try:
@@ -69,14 +69,16 @@
 async def test_a_stopped_link_leaves_the_tasks_beside_it_alone() -> None:
     send, receive = anyio.create_memory_object_stream[Any](100)
     beats = 0
-    async with serve(Greeter()) as (address, client):
+    async with serve(EmptyViewServer()) as (address, client):
         with anyio.fail_after(10.0):
             async with anyio.create_task_group() as tasks:
                 link = attachment.Attachment(
                     address, HELLO, client, send.send_nowait
                 )
                 tasks.start_soon(link.run)
-                assert isinstance(await receive.receive(), attachment.Up)
+                assert isinstance(
+                    await receive.receive(), attachment.LinkOpened
+                )
                 link.stop()
                 beats = await count_beats()
                 tasks.cancel_scope.cancel()
