--- a/bench/replay/pattern.py
+++ b/bench/replay/pattern.py
@@ -56,7 +56,7 @@
     patience_s: model.PositiveFloat = 2.0
     timeout_s: model.PositiveFloat
     worth: model.PositiveFloat
-    late_part: model.Part = 0.1
+    late_part: model.Fraction = 0.1
     tries: model.PositiveInt = 2
 
 
@@ -180,7 +180,7 @@
         case Ok(pattern):
             return pattern
         case Err(mistakes):
-            told = validation.format_mistakes(mistakes)
+            told = validation.format_violations(mistakes)
             raise PatternError(f"{path}: {told}")
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -24,8 +24,8 @@
 import click
 
 from bench import capacity, deployment, fit
+from ramptray.bundle import parsing, signature
 from ramptray.bundle import record as bundle_record
-from ramptray.bundle import signature, text
 from ramptray.command import peers, status
 from ramptray.core import (
     backend,
@@ -209,7 +209,7 @@
 
 def _time_load(raw: str) -> float:
     began = time.perf_counter()
-    text.parse_bundle(raw).unwrap()
+    parsing.parse_bundle(raw).unwrap()
     return (time.perf_counter() - began) * 1e3
 
 
@@ -236,12 +236,12 @@
 
 def _keep_c(count: int) -> float:
     raw = _make_bundle_text(count, 0)
-    return _measure_kept(lambda: text.parse_bundle(raw).unwrap())
+    return _measure_kept(lambda: parsing.parse_bundle(raw).unwrap())
 
 
 def _keep_b(count: int) -> float:
     raw = _make_bundle_text(0, count)
-    return _measure_kept(lambda: text.parse_bundle(raw).unwrap())
+    return _measure_kept(lambda: parsing.parse_bundle(raw).unwrap())
 
 
 def _keep_shard(count: int) -> float:
--- a/ramptray/bundle/acceptance.py
+++ b/ramptray/bundle/acceptance.py
@@ -12,7 +12,7 @@
 import msgspec
 from result import Err, Ok
 
-from ramptray.bundle import delta, model, signature, text
+from ramptray.bundle import delta, model, parsing, signature
 
 
 class Rollout(msgspec.Struct, frozen=True):
@@ -52,7 +52,7 @@
 Record = Rollout | DeltaRollout | Checkpoint
 
 
-class Verdict(enum.Enum):
+class RolloutStatus(enum.Enum):
     """What became of a rollout."""
 
     ACCEPTED = "accepted"
@@ -76,22 +76,22 @@
         return self.bundle.generation
 
 
-class Learner:
+class BundleTracker:
     """Holds the bundle in force as told by peers; only ever moves up."""
 
     def __init__(self) -> None:
         self.in_force: InForce | None = None
 
-    def learn(self, envelope: signature.Envelope) -> bool:
+    def apply_peer_bundle(self, envelope: signature.Envelope) -> bool:
         """Takes a bundle that is in force at a peer.
 
         Returns:
             Whether the bundle in force has changed.
         """
         candidate = _parse(envelope)
-        return candidate is not None and self.raise_to(candidate)
+        return candidate is not None and self.advance_to(candidate)
 
-    def raise_to(self, candidate: InForce) -> bool:
+    def advance_to(self, candidate: InForce) -> bool:
         """Puts a bundle in force if it is newer than the present one."""
         current = self.in_force
         if current and candidate.generation <= current.generation:
@@ -100,7 +100,7 @@
         return True
 
 
-class Acceptance(Learner):
+class RolloutLogTracker(BundleTracker):
     """Follows the log of rollouts and never steps down.
 
     Args:
@@ -111,7 +111,7 @@
         super().__init__()
         self._trust = trust
         self.next_offset = 0
-        self.verdicts: dict[str, Verdict] = {}
+        self.statuses: dict[str, RolloutStatus] = {}
         self._log_view: InForce | None = None
         self._first_retained = 0
         # Records read while the history before them is unknown.
@@ -123,7 +123,7 @@
         return self._log_view
 
     @property
-    def first_read(self) -> int:
+    def first_offset(self) -> int:
         """The offset at which the history that was read begins."""
         return self._first_retained
 
@@ -136,21 +136,21 @@
         self._log_view = None
         self._unjoined = []
 
-    def read(self, offset: int, record: Record) -> Verdict:
+    def apply(self, offset: int, record: Record) -> RolloutStatus:
         """Takes the next record of the log.
 
         Records must be given in the order of their offsets.
         """
         if offset < self.next_offset:
-            return Verdict.REPEATED
+            return RolloutStatus.REPEATED
         self.next_offset = offset + 1
         if self._unjoined is not None:
             return self._read_unjoined(offset, record)
         if isinstance(record, Checkpoint):
-            return Verdict.CHECKPOINT
+            return RolloutStatus.CHECKPOINT
         return self._judge_rollout(record)
 
-    def _read_unjoined(self, offset: int, record: Record) -> Verdict:
+    def _read_unjoined(self, offset: int, record: Record) -> RolloutStatus:
         """Waits for a checkpoint that no missing record precedes.
 
         The records after the offset that the checkpoint speaks for are then
@@ -169,65 +169,65 @@
         )
         if not isinstance(record, Checkpoint) or candidate is None:
             self._unjoined.append((offset, record))
-            return Verdict.NO_HISTORY
+            return RolloutStatus.NO_HISTORY
         replay = self._unjoined
         self._unjoined = None
         self._log_view = candidate
-        self.raise_to(candidate)
+        self.advance_to(candidate)
         for past, earlier in replay:
             if isinstance(earlier, Checkpoint):
                 continue
             if past > record.through_offset:
                 self._judge_rollout(earlier)
-        return Verdict.CHECKPOINT
+        return RolloutStatus.CHECKPOINT
 
-    def _judge_rollout(self, record: Rollout | DeltaRollout) -> Verdict:
+    def _judge_rollout(self, record: Rollout | DeltaRollout) -> RolloutStatus:
         if isinstance(record, Rollout):
             verdict = self._judge(record.envelope)
-            self.verdicts[record.envelope.digest] = verdict
+            self.statuses[record.envelope.digest] = verdict
             return verdict
         verdict = self._judge_delta(record)
-        self.verdicts[record.digest] = verdict
+        self.statuses[record.digest] = verdict
         return verdict
 
-    def _judge_delta(self, record: DeltaRollout) -> Verdict:
+    def _judge_delta(self, record: DeltaRollout) -> RolloutStatus:
         view = self._log_view
         if view is not None and record.digest == view.envelope.digest:
-            return Verdict.REPEATED
+            return RolloutStatus.REPEATED
         if view is None or record.base != view.envelope.digest:
-            return Verdict.WRONG_BASE
+            return RolloutStatus.WRONG_BASE
         try:
             whole = delta.apply_delta(view.envelope.text, record.delta)
         except delta.DeltaError:
-            return Verdict.INVALID
+            return RolloutStatus.INVALID
         envelope = signature.Envelope(whole, record.signatures)
         if envelope.digest != record.digest:
-            return Verdict.INVALID
+            return RolloutStatus.INVALID
         return self._judge(envelope)
 
-    def _judge(self, envelope: signature.Envelope) -> Verdict:
+    def _judge(self, envelope: signature.Envelope) -> RolloutStatus:
         candidate = _parse(envelope)
         if candidate is None:
-            return Verdict.INVALID
+            return RolloutStatus.INVALID
         view = self._log_view
         if view is not None and envelope.digest == view.envelope.digest:
-            return Verdict.REPEATED
+            return RolloutStatus.REPEATED
         base = view.envelope.digest if view else None
         generation = view.generation + 1 if view else 1
         follows = candidate.bundle.base == base
         if not follows or candidate.generation != generation:
-            return Verdict.WRONG_BASE
+            return RolloutStatus.WRONG_BASE
         operators = view.bundle.operators if view else self._trust
         signed = signature.count_valid(envelope, operators.keys)
         if signed < operators.signatures_required:
-            return Verdict.BAD_SIGNATURE
+            return RolloutStatus.BAD_SIGNATURE
         self._log_view = candidate
-        self.raise_to(candidate)
-        return Verdict.ACCEPTED
+        self.advance_to(candidate)
+        return RolloutStatus.ACCEPTED
 
 
 def _parse(envelope: signature.Envelope) -> InForce | None:
-    match text.parse_bundle(envelope.text):
+    match parsing.parse_bundle(envelope.text):
         case Ok(bundle):
             return InForce(bundle, envelope)
         case Err(_):
--- a/ramptray/bundle/delta.py
+++ b/ramptray/bundle/delta.py
@@ -11,7 +11,7 @@
 import zstandard
 
 MAX_TEXT_BYTES = 64 * 1024 * 1024
-LEVEL = 3
+COMPRESSION_LEVEL = 3
 
 
 class DeltaError(Exception):
@@ -20,10 +20,12 @@
 
 def make_delta(base: str, text: str) -> str:
     """Returns what turns the base into the text, as base64."""
-    return base64.b64encode(pack(base.encode(), text.encode())).decode()
+    return base64.b64encode(
+        make_binary_delta(base.encode(), text.encode())
+    ).decode()
 
 
-def pack(known: bytes, new: bytes) -> bytes:
+def make_binary_delta(known: bytes, new: bytes) -> bytes:
     """Returns what turns the known bytes into the new ones.
 
     Args:
@@ -35,7 +37,7 @@
     # Long-distance matching would find less: 9.8 kB instead of 52 bytes for one
     # changed route of 1,317.
     parameters = zstandard.ZstdCompressionParameters.from_level(
-        LEVEL, window_log=window, write_content_size=True
+        COMPRESSION_LEVEL, window_log=window, write_content_size=True
     )
     packer = zstandard.ZstdCompressor(
         dict_data=_make_dictionary(known), compression_params=parameters
@@ -51,12 +53,12 @@
     """
     try:
         packed = base64.b64decode(delta, validate=True)
-        return unpack(base.encode(), packed).decode()
+        return apply_binary_delta(base.encode(), packed).decode()
     except ValueError as error:
         raise DeltaError(str(error)) from error
 
 
-def unpack(known: bytes, packed: bytes) -> bytes:
+def apply_binary_delta(known: bytes, packed: bytes) -> bytes:
     """Returns the new bytes; see ``pack``.
 
     Raises:
--- a/ramptray/bundle/model.py
+++ b/ramptray/bundle/model.py
@@ -23,11 +23,11 @@
 Port = Annotated[int, msgspec.Meta(ge=1, le=65535)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
 PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
-EnginePlaces = Annotated[int, msgspec.Meta(ge=1, le=4096)]
+EngineSlots = Annotated[int, msgspec.Meta(ge=1, le=4096)]
 HeaderBytes = Annotated[int, msgspec.Meta(ge=256)]
 PositiveFloat = Annotated[float, msgspec.Meta(gt=0)]
 NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
-Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
+Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
 
 class Model(
@@ -172,7 +172,7 @@
             it needs no warming up.
     """
 
-    max_running: EnginePlaces
+    max_running: EngineSlots
     kv_tokens: PositiveInt = 1_000_000
     cache_blocks: Count = 1024
     checks_fencing: bool = False
@@ -338,7 +338,7 @@
     relay: RelayLimits = RelayLimits()
     rollouts: dict[Name, rollout.Order] = {}
 
-    def get_ranks(self) -> dict[str, int]:
+    def get_tier_ranks(self) -> dict[str, int]:
         """Returns the rank of each tier, 0 for the most urgent."""
         ordered = sorted(self.tiers, key=lambda name: self.tiers[name].order)
         return {name: rank for rank, name in enumerate(ordered)}
--- a/ramptray/bundle/validation.py
+++ b/ramptray/bundle/validation.py
@@ -14,7 +14,7 @@
 T = TypeVar("T")
 
 
-class Mistake(msgspec.Struct, frozen=True):
+class Violation(msgspec.Struct, frozen=True):
     """One mistake in what a person or another program wrote.
 
     Attributes:
@@ -36,7 +36,7 @@
 
 def convert(
     data: Any, kind: type[T], strict: bool = True
-) -> Result[T, list[Mistake]]:
+) -> Result[T, list[Violation]]:
     """Returns data as an object of a type, or all mistakes that it has.
 
     Args:
@@ -51,14 +51,14 @@
         return Err(list(_iterate(data, kind, strict, "")))
 
 
-def format_mistakes(mistakes: list[Mistake]) -> str:
+def format_violations(mistakes: list[Violation]) -> str:
     """Returns all mistakes in one line for a log, each with its place."""
     return "; ".join(f"{m.path}: {m.expected}" for m in mistakes)
 
 
 def _iterate(
     data: Any, kind: Any, strict: bool, path: str
-) -> Iterator[Mistake]:
+) -> Iterator[Violation]:
     """Yields the mistakes in the parts, or else the one of the whole."""
     parts = list(_iterate_parts(data, kind, strict, path))
     if parts:
@@ -68,12 +68,12 @@
         msgspec.convert(data, kind, strict=strict)
     except msgspec.ValidationError as error:
         found = "" if isinstance(data, dict | list) else repr(data)
-        yield Mistake(path, str(error), found)
+        yield Violation(path, str(error), found)
 
 
 def _iterate_parts(
     data: Any, kind: Any, strict: bool, path: str
-) -> Iterator[Mistake]:
+) -> Iterator[Violation]:
     bare = _strip(kind, data)
     arguments = typing.get_args(bare)
     if isinstance(bare, type) and issubclass(bare, msgspec.Struct):
@@ -94,7 +94,7 @@
 
 def _iterate_fields(
     data: dict[str, Any], kind: type[msgspec.Struct], strict: bool, path: str
-) -> Iterator[Mistake]:
+) -> Iterator[Violation]:
     hints = typing.get_type_hints(kind, include_extras=True)
     fields = {
         field.encode_name: field for field in msgspec.structs.fields(kind)
@@ -104,11 +104,11 @@
         if name in data:
             yield from _iterate(data[name], hints[field.name], strict, place)
         elif field.required:
-            yield Mistake(place, "a field that is needed")
+            yield Violation(place, "a field that is needed")
     if kind.__struct_config__.forbid_unknown_fields:
         for name in data:
             if name not in fields:
-                yield Mistake(_join(path, name), "no such field is known")
+                yield Violation(_join(path, name), "no such field is known")
 
 
 def _strip(kind: Any, data: Any) -> Any:
--- a/ramptray/caller/app.py
+++ b/ramptray/caller/app.py
@@ -18,12 +18,12 @@
 from ramptray import steadyclock
 from ramptray.bundle import model
 from ramptray.caller import (
-    answer,
+    completion,
     intake,
     metrics,
     plain,
     refusal,
-    whole,
+    response_cache,
 )
 from ramptray.caller import request as caller_request
 from ramptray.core import message, request
@@ -57,7 +57,7 @@
         self._tasks = tasks
         self._boot = secrets.token_hex(4)
         self._numbers = itertools.count(1)
-        self._answers = answer.AnswerStore()
+        self._answers = response_cache.ResponseCache()
         self._plain = plain.PlainServices(
             settings,
             desk,
@@ -94,14 +94,16 @@
         )
 
     async def _complete(self, http: requests.Request) -> responses.Response:
-        match await intake.take_in(http, self._desk, self._settings.limits):
+        match await intake.read_request(
+            http, self._desk, self._settings.limits
+        ):
             case Err(refused):
                 return refused
             case Ok(taken):
                 pass
         match caller_request.parse_body(taken.body):
             case Err(mistake):
-                return refusal.answer_mistake(mistake)
+                return refusal.make_invalid_request_response(mistake)
             case Ok(parsed):
                 pass
         request_id = self._make_request_id()
@@ -111,15 +113,15 @@
             taken.customer,
             http.headers,
             parsed,
-            whole.render_prompt(parsed),
+            completion.render_prompt(parsed),
             request_id,
             taken.body,
         ):
             case Err(mistake):
-                return refusal.answer_mistake(mistake)
+                return refusal.make_invalid_request_response(mistake)
             case Ok(asked):
                 pass
-        held = self._answers.find(asked.wish)
+        held = self._answers.find(asked.claim_request)
         if held is not None:
             return held.make_response()
         return await self._exchange(http, asked, parsed)
@@ -127,12 +129,12 @@
     async def _exchange(
         self,
         http: requests.Request,
-        asked: caller_request.Asked,
+        asked: caller_request.ParsedRequest,
         parsed: dict[str, Any],
     ) -> responses.Response:
         wants_stream = bool(parsed.get("stream"))
         sent = {**parsed, "stream": True}
-        ticket = self._desk.submit(asked.info, asked.wish)
+        ticket = self._desk.submit(asked.info, asked.claim_request)
         served = exchange.Exchange(
             ticket,
             exchange.ModelCall(http.url.path, msgspec.json.encode(sent)),
@@ -155,7 +157,7 @@
         if not wants_stream:
             response = await self._answer_whole(http, watched, first)
             if response.status_code == 200:
-                self._answers.hold(asked.wish, response)
+                self._answers.put(asked.claim_request, response)
             return response
         return responses.StreamingResponse(
             watched.iterate(first),
@@ -188,7 +190,7 @@
         if item.outcome is not message.Outcome.COMPLETE:
             return refusal.make_response(item, served.request_id)
         return responses.JSONResponse(
-            whole.assemble(events),
+            completion.assemble_completion(events),
             headers={"x-request-id": served.request_id},
         )
 
@@ -196,7 +198,7 @@
         return f"{self._settings.vm}-{self._boot}-{next(self._numbers)}"
 
     async def _list_models(self, http: requests.Request) -> responses.Response:
-        match intake.identify(http, self._desk):
+        match intake.authenticate(http, self._desk):
             case Err(refused):
                 return refused
             case Ok(taken):
--- a/ramptray/caller/whole.py
+++ b/ramptray/caller/completion.py
@@ -9,7 +9,7 @@
 from ramptray.engine import event
 
 
-def assemble(events: list[event.Event]) -> dict[str, Any]:
+def assemble_completion(events: list[event.Event]) -> dict[str, Any]:
     """Returns the answer that the chunks make up."""
     chunks = [msgspec.json.decode(e.data) for e in events if not e.is_end]
     first, last = chunks[0], chunks[-1]
--- a/ramptray/caller/intake.py
+++ b/ramptray/caller/intake.py
@@ -17,7 +17,7 @@
 RETRY_AFTER_S = 1.0
 
 
-class Intake(msgspec.Struct, frozen=True):
+class AuthenticatedRequest(msgspec.Struct, frozen=True):
     """A request whose sender and body are known.
 
     Attributes:
@@ -31,26 +31,26 @@
     body: bytes
 
 
-async def take_in(
+async def read_request(
     http: requests.Request,
     desk: dispatcher.Dispatcher,
     limits: settings_module.CallerLimits,
-) -> Result[Intake, responses.Response]:
+) -> Result[AuthenticatedRequest, responses.Response]:
     """Returns a request that can be looked at, or the answer to give."""
-    match identify(http, desk):
+    match authenticate(http, desk):
         case Err(refused):
             return Err(refused)
         case Ok(intake):
             pass
     body = await _read_body(http, limits)
-    if isinstance(body, caller_request.Mistake):
-        return Err(refusal.answer_mistake(body))
+    if isinstance(body, caller_request.InvalidRequest):
+        return Err(refusal.make_invalid_request_response(body))
     return Ok(msgspec.structs.replace(intake, body=body))
 
 
-def identify(
+def authenticate(
     http: requests.Request, desk: dispatcher.Dispatcher
-) -> Result[Intake, responses.Response]:
+) -> Result[AuthenticatedRequest, responses.Response]:
     """Returns a request with its customer and no body yet."""
     if desk.in_force is None:
         finish = request.Finish(
@@ -60,14 +60,14 @@
     bundle = desk.in_force.bundle
     match caller_request.find_customer(bundle, http.headers):
         case Err(mistake):
-            return Err(refusal.answer_mistake(mistake))
+            return Err(refusal.make_invalid_request_response(mistake))
         case Ok(customer):
-            return Ok(Intake(bundle, customer, b""))
+            return Ok(AuthenticatedRequest(bundle, customer, b""))
 
 
 async def _read_body(
     http: requests.Request, limits: settings_module.CallerLimits
-) -> bytes | caller_request.Mistake:
+) -> bytes | caller_request.InvalidRequest:
     """Returns a request's body, or why it is not taken."""
     parts: list[bytes] = []
     size = 0
@@ -77,9 +77,9 @@
                 size += len(part)
                 if size > limits.body_bytes:
                     text = f"body: at most {limits.body_bytes} bytes"
-                    return caller_request.Mistake(413, "too_large", text)
+                    return caller_request.InvalidRequest(413, "too_large", text)
                 parts.append(part)
     except TimeoutError:
         text = f"body: expected within {limits.body_s} s"
-        return caller_request.Mistake(408, "too_slow", text)
+        return caller_request.InvalidRequest(408, "too_slow", text)
     return b"".join(parts)
--- a/ramptray/caller/plain.py
+++ b/ramptray/caller/plain.py
@@ -12,7 +12,7 @@
 from ramptray import settings as settings_module
 from ramptray import steadyclock
 from ramptray.bundle import model
-from ramptray.caller import answer, intake, metrics, refusal
+from ramptray.caller import intake, metrics, refusal, response_cache
 from ramptray.caller import request as caller_request
 from ramptray.core import message, request
 from ramptray.entry import dispatcher
@@ -43,7 +43,7 @@
         desk: dispatcher.Dispatcher,
         client: service_client.ServiceClient,
         measures: metrics.Metrics,
-        answers: answer.AnswerStore,
+        answers: response_cache.ResponseCache,
         make_request_id: Callable[[], str],
     ) -> None:
         self._settings = settings
@@ -55,7 +55,9 @@
 
     async def serve(self, http: requests.Request) -> responses.Response:
         """Serves one call."""
-        match await intake.take_in(http, self._desk, self._settings.limits):
+        match await intake.read_request(
+            http, self._desk, self._settings.limits
+        ):
             case Err(refused):
                 return refused
             case Ok(taken):
@@ -71,10 +73,10 @@
             taken.body,
         ):
             case Err(mistake):
-                return refusal.answer_mistake(mistake)
+                return refusal.make_invalid_request_response(mistake)
             case Ok(asked):
                 pass
-        held = self._answers.find(asked.wish)
+        held = self._answers.find(asked.claim_request)
         if held is not None:
             return held.make_response()
         return await self._exchange(http, taken, asked)
@@ -82,8 +84,8 @@
     async def _exchange(
         self,
         http: requests.Request,
-        taken: intake.Intake,
-        asked: caller_request.Asked,
+        taken: intake.AuthenticatedRequest,
+        asked: caller_request.ParsedRequest,
     ) -> responses.Response:
         service = taken.bundle.services[asked.info.shard.service]
         call = _make_call(http, asked.info.request_id, taken.body)
@@ -103,13 +105,13 @@
         self._metrics.count_end(tier, message.Outcome.COMPLETE.value, "")
         self._metrics.record("answer", tier, steadyclock.read() - began)
         response = _pass_back(outcome, asked.info.request_id)
-        self._answers.hold(asked.wish, response)
+        self._answers.put(asked.claim_request, response)
         return response
 
     async def _call_legacy(
         self,
         url: str,
-        asked: caller_request.Asked,
+        asked: caller_request.ParsedRequest,
         call: service_client.Call,
     ) -> responses.Response:
         try:
@@ -134,18 +136,18 @@
         self,
         desk: dispatcher.Dispatcher,
         client: service_client.ServiceClient,
-        asked: caller_request.Asked,
+        asked: caller_request.ParsedRequest,
         call: service_client.Call,
     ) -> None:
         self._desk = desk
         self._client = client
         self._asked = asked
         self._call = call
-        self._answer: service_client.Answer | None = None
+        self._answer: service_client.Response | None = None
 
-    async def run(self) -> service_client.Answer | request.Finish:
+    async def run(self) -> service_client.Response | request.Finish:
         """Returns the answer, or why there is none."""
-        ticket = self._desk.submit(self._asked.info, self._asked.wish)
+        ticket = self._desk.submit(self._asked.info, self._asked.claim_request)
         async for effect in ticket.effects:
             if isinstance(effect, request.Dispatch):
                 await self._dispatch(ticket, effect.grant)
@@ -183,7 +185,7 @@
 
 
 def _goes_to_legacy(
-    service: model.Service, asked: caller_request.Asked
+    service: model.Service, asked: caller_request.ParsedRequest
 ) -> bool:
     """Returns whether the old script takes this request.
 
@@ -192,7 +194,11 @@
     """
     if service.legacy is None:
         return False
-    seed = asked.wish.key if asked.wish else asked.info.request_id
+    seed = (
+        asked.claim_request.key
+        if asked.claim_request
+        else asked.info.request_id
+    )
     return xxhash.xxh3_64_intdigest(seed.encode()) % 10_000 < (
         service.legacy.percent * 100
     )
@@ -213,7 +219,7 @@
 
 
 def _pass_back(
-    answer: service_client.Answer, request_id: str
+    answer: service_client.Response, request_id: str
 ) -> responses.Response:
     headers = {
         name: value
--- a/ramptray/caller/refusal.py
+++ b/ramptray/caller/refusal.py
@@ -68,8 +68,8 @@
     }
 
 
-def answer_mistake(
-    mistake: caller_request.Mistake,
+def make_invalid_request_response(
+    mistake: caller_request.InvalidRequest,
 ) -> responses.JSONResponse:
     """Returns the answer to a request that is itself at fault."""
     return responses.JSONResponse(
--- a/ramptray/caller/request.py
+++ b/ramptray/caller/request.py
@@ -30,7 +30,7 @@
 """What a call to a plain service counts as, in tokens."""
 
 
-class Mistake(msgspec.Struct, frozen=True):
+class InvalidRequest(msgspec.Struct, frozen=True):
     """Why a request cannot be taken as it is."""
 
     status: int
@@ -39,7 +39,7 @@
     outcome: message.Outcome = message.Outcome.NOT_RUN
 
 
-class Asked(msgspec.Struct, frozen=True):
+class ParsedRequest(msgspec.Struct, frozen=True):
     """A request that can be taken.
 
     Attributes:
@@ -48,35 +48,37 @@
     """
 
     info: message.RequestInfo
-    wish: tickets.ClaimRequest | None
+    claim_request: tickets.ClaimRequest | None
 
 
 def find_customer(
     bundle: model.Bundle, headers: Mapping[str, str]
-) -> Result[str, Mistake]:
+) -> Result[str, InvalidRequest]:
     """Returns the customer whose bearer key the request carries."""
     scheme, _, key = headers.get("authorization", "").partition(" ")
     customer = bundle.get_customer_by_key(key.strip())
     if scheme.lower() != "bearer" or customer is None:
         text = "a bearer key of a customer is needed"
-        return Err(Mistake(401, "invalid_api_key", text))
+        return Err(InvalidRequest(401, "invalid_api_key", text))
     return Ok(customer)
 
 
 def parse_body(
     body: bytes,
-) -> Result[dict[str, Any], Mistake]:
+) -> Result[dict[str, Any], InvalidRequest]:
     """Returns the body of a completion request."""
     try:
         parsed = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
-        return Err(Mistake(400, "invalid_json", f"body: {error}"))
+        return Err(InvalidRequest(400, "invalid_json", f"body: {error}"))
     if not isinstance(parsed, dict):
-        return Err(Mistake(400, "invalid_json", "body: expected an object"))
+        return Err(
+            InvalidRequest(400, "invalid_json", "body: expected an object")
+        )
     asked = parsed.get("max_tokens", parsed.get("max_completion_tokens"))
     if asked is not None and (not isinstance(asked, int) or asked < 1):
         text = f"max_tokens: expected a positive number, found {asked!r}"
-        return Err(Mistake(400, "invalid_value", text))
+        return Err(InvalidRequest(400, "invalid_value", text))
     return Ok(parsed)
 
 
@@ -89,13 +91,15 @@
     prompt: str,
     request_id: str,
     body: bytes,
-) -> Result[Asked, Mistake]:
+) -> Result[ParsedRequest, InvalidRequest]:
     """Returns the facts of a completion request."""
     service = parsed.get("model")
     known = bundle.services.get(service) if isinstance(service, str) else None
     if known is None or known.kind is not model.ServiceKind.MODEL:
         text = f"model: {service!r} is not a model service"
-        return Err(Mistake(404, message.Reason.UNKNOWN_SERVICE.value, text))
+        return Err(
+            InvalidRequest(404, message.Reason.UNKNOWN_SERVICE.value, text)
+        )
     asked = parsed.get("max_tokens", parsed.get("max_completion_tokens"))
     blocks = prefix.hash_blocks(prompt)
     seed = str(blocks[0]) if blocks else customer
@@ -122,12 +126,14 @@
     service: str,
     request_id: str,
     body: bytes,
-) -> Result[Asked, Mistake]:
+) -> Result[ParsedRequest, InvalidRequest]:
     """Returns the facts of a call to a plain service."""
     known = bundle.services.get(service)
     if known is None or known.kind is not model.ServiceKind.PLAIN:
         text = f"{service!r} is not a plain service"
-        return Err(Mistake(404, message.Reason.UNKNOWN_SERVICE.value, text))
+        return Err(
+            InvalidRequest(404, message.Reason.UNKNOWN_SERVICE.value, text)
+        )
     info = message.RequestInfo(
         request_id,
         message.ShardKey(
@@ -148,28 +154,28 @@
     info: message.RequestInfo,
     headers: Mapping[str, str],
     body: bytes,
-) -> Result[Asked, Mistake]:
+) -> Result[ParsedRequest, InvalidRequest]:
     allowed = bundle.customers[info.customer].tiers
     tier = headers.get(TIER_HEADER, allowed[0])
     if tier not in allowed:
         text = f"{TIER_HEADER}: {tier!r} is not one of {allowed}"
-        return Err(Mistake(403, "tier_not_allowed", text))
+        return Err(InvalidRequest(403, "tier_not_allowed", text))
     deadline_s = _read_deadline(headers, bundle.tiers[tier].deadline_s)
     if deadline_s is None:
         text = f"{DEADLINE_HEADER}: expected a positive number of seconds"
-        return Err(Mistake(400, "invalid_value", text))
+        return Err(InvalidRequest(400, "invalid_value", text))
     info = msgspec.structs.replace(info, tier=tier, deadline_s=deadline_s)
     key = headers.get(KEY_HEADER)
     if key is None:
-        return Ok(Asked(info, None))
+        return Ok(ParsedRequest(info, None))
     if not key or len(key) > MAX_KEY_CHARS:
         text = f"{KEY_HEADER}: expected 1 to {MAX_KEY_CHARS} characters"
-        return Err(Mistake(400, "invalid_value", text))
+        return Err(InvalidRequest(400, "invalid_value", text))
     if _is_expired(key, bundle.claim_window_s):
         text = f"{KEY_HEADER}: older than {bundle.claim_window_s:g} s"
         reason = message.Reason.KEY_EXPIRED.value
-        return Err(Mistake(409, reason, text, message.Outcome.UNKNOWN))
-    return Ok(Asked(info, _make_wish(info, key, body)))
+        return Err(InvalidRequest(409, reason, text, message.Outcome.UNKNOWN))
+    return Ok(ParsedRequest(info, _make_wish(info, key, body)))
 
 
 def _is_expired(key: str, window_s: float) -> bool:
--- a/ramptray/caller/answer.py
+++ b/ramptray/caller/response_cache.py
@@ -18,7 +18,7 @@
 REPLAYED_HEADER = "x-ramptray-replayed"
 
 
-class HeldAnswer(msgspec.Struct, frozen=True):
+class CachedResponse(msgspec.Struct, frozen=True):
     """A whole answer to a request with an idempotency key.
 
     Attributes:
@@ -39,17 +39,17 @@
         return responses.Response(self.body, self.status, headers)
 
 
-class AnswerStore:
+class ResponseCache:
     """The latest answers by key, within a bound of memory."""
 
     def __init__(self, max_bytes: int = MAX_BYTES) -> None:
         self._max_bytes = max_bytes
-        self._held: collections.OrderedDict[str, HeldAnswer] = (
+        self._held: collections.OrderedDict[str, CachedResponse] = (
             collections.OrderedDict()
         )
         self._bytes = 0
 
-    def hold(
+    def put(
         self,
         wish: tickets.ClaimRequest | None,
         response: responses.Response,
@@ -65,7 +65,7 @@
             for name, value in response.headers.items()
             if name != "content-length"
         }
-        self._held[wish.key] = HeldAnswer(
+        self._held[wish.key] = CachedResponse(
             wish.digest, response.status_code, headers, body
         )
         self._bytes += len(body)
@@ -73,7 +73,7 @@
             _, dropped = self._held.popitem(last=False)
             self._bytes -= len(dropped.body)
 
-    def find(self, wish: tickets.ClaimRequest | None) -> HeldAnswer | None:
+    def find(self, wish: tickets.ClaimRequest | None) -> CachedResponse | None:
         """Returns the answer to the same request, if it is still held."""
         held = self._held.get(wish.key) if wish else None
         if held is None or wish is None or held.digest != wish.digest:
--- a/ramptray/command/bundle.py
+++ b/ramptray/command/bundle.py
@@ -11,7 +11,7 @@
 import msgspec
 from result import Err, Ok
 
-from ramptray.bundle import model, signature, text, validation
+from ramptray.bundle import model, parsing, signature, validation
 from ramptray.command import keys
 from ramptray.command.error import CommandError
 
@@ -114,7 +114,7 @@
     click.echo(f"base        {shown.base or 'none (the first bundle)'}")
     click.echo(f"signed by   {', '.join(envelope.signatures) or 'nobody'}")
     click.echo(f"zones       {', '.join(shown.zones)}")
-    click.echo(f"tiers       {', '.join(shown.get_ranks())}")
+    click.echo(f"tiers       {', '.join(shown.get_tier_ranks())}")
     click.echo(f"customers   {len(shown.customers)}")
     for name, service in shown.services.items():
         servers = [
@@ -129,13 +129,13 @@
     """Returns the bundle in a file, signed or not.
 
     Raises:
-        text.TextError: The file cannot be read.
+        parsing.InvalidFileError: The file cannot be read.
     """
     try:
         raw = file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        mistake = validation.Mistake("", f"a readable file ({error})")
-        raise text.TextError(str(file), [mistake]) from error
+        mistake = validation.Violation("", f"a readable file ({error})")
+        raise parsing.InvalidFileError(str(file), [mistake]) from error
     try:
         return msgspec.json.decode(raw.encode(), type=signature.Envelope)
     except (msgspec.ValidationError, msgspec.DecodeError):
@@ -146,13 +146,13 @@
     """Returns the bundle in an envelope.
 
     Raises:
-        text.TextError: It has mistakes.
+        parsing.InvalidFileError: It has mistakes.
     """
-    match text.parse_bundle(envelope.text):
+    match parsing.parse_bundle(envelope.text):
         case Ok(bundle):
             return bundle
         case Err(mistakes):
-            raise text.TextError(str(file), mistakes)
+            raise parsing.InvalidFileError(str(file), mistakes)
 
 
 def check_follows(
@@ -164,16 +164,16 @@
     """Checks that a bundle follows another.
 
     Raises:
-        text.TextError: It does not.
+        parsing.InvalidFileError: It does not.
     """
-    mistakes: list[validation.Mistake] = []
+    mistakes: list[validation.Violation] = []
     if bundle.generation != base_bundle.generation + 1:
         expected = f"{base_bundle.generation + 1}, found {bundle.generation}"
-        mistakes.append(validation.Mistake("generation", expected))
+        mistakes.append(validation.Violation("generation", expected))
     if bundle.base != base.digest:
-        mistakes.append(validation.Mistake("base", f"{base.digest}"))
+        mistakes.append(validation.Violation("base", f"{base.digest}"))
     if mistakes:
-        raise text.TextError(str(file), mistakes)
+        raise parsing.InvalidFileError(str(file), mistakes)
 
 
 def _set_field(raw: str, field: str, value: str) -> str:
--- a/ramptray/command/main.py
+++ b/ramptray/command/main.py
@@ -8,7 +8,7 @@
 
 import ramptray
 from ramptray import process
-from ramptray.bundle import text
+from ramptray.bundle import parsing
 from ramptray.command import (
     blocked,
     bundle,
@@ -49,7 +49,7 @@
     process.set_up_logs("ramptray", "ERROR")
     try:
         run_group()
-    except text.TextError as error:
+    except parsing.InvalidFileError as error:
         click.echo(str(error), err=True)
         sys.exit(process.EXIT_MISTAKE)
     except CommandError as error:
--- a/ramptray/command/peers.py
+++ b/ramptray/command/peers.py
@@ -11,7 +11,7 @@
 import click
 
 from ramptray import settings, wallclock
-from ramptray.bundle import text
+from ramptray.bundle import parsing
 from ramptray.core import clock
 from ramptray.peer import link as peer_link
 from ramptray.peer import message as peer_message
@@ -32,9 +32,9 @@
     """Returns the operator's settings.
 
     Raises:
-        text.TextError: They have mistakes.
+        parsing.InvalidFileError: They have mistakes.
     """
-    return text.read_model(file, settings.OperatorSettings)
+    return parsing.read_model(file, settings.OperatorSettings)
 
 
 class Peers:
--- a/ramptray/command/rollout.py
+++ b/ramptray/command/rollout.py
@@ -20,17 +20,17 @@
 PROGRESS_S = 2.0
 
 _ADVICE = {
-    acceptance.Verdict.WRONG_BASE: (
+    acceptance.RolloutStatus.WRONG_BASE: (
         "another bundle is in force. Get it with `ramptray rollout "
         "--show-in-force`, put your change on it with `ramptray bundle "
         "rebase`, check, sign and roll out again"
     ),
-    acceptance.Verdict.BAD_SIGNATURE: (
+    acceptance.RolloutStatus.BAD_SIGNATURE: (
         "too few valid signatures by the operators of the bundle in force; "
         "sign it with `ramptray bundle sign`"
     ),
-    acceptance.Verdict.INVALID: "run `ramptray bundle check`",
-    acceptance.Verdict.NO_HISTORY: (
+    acceptance.RolloutStatus.INVALID: "run `ramptray bundle check`",
+    acceptance.RolloutStatus.NO_HISTORY: (
         "the log has forgotten which bundle it follows and holds no "
         "checkpoint; see docs/operators.md"
     ),
@@ -116,10 +116,10 @@
         CommandError: The bundle was not accepted.
     """
     reader = await _read_log(log, given)
-    verdict = reader.verdicts.get(envelope.digest)
+    verdict = reader.statuses.get(envelope.digest)
     accepted = (
-        acceptance.Verdict.ACCEPTED,
-        acceptance.Verdict.REPEATED,
+        acceptance.RolloutStatus.ACCEPTED,
+        acceptance.RolloutStatus.REPEATED,
     )
     if verdict in accepted:
         return
@@ -137,8 +137,8 @@
 
 async def _read_log(
     log: log_client.Log, given: settings.OperatorSettings
-) -> acceptance.Acceptance:
-    reader = acceptance.Acceptance(given.trust)
+) -> acceptance.RolloutLogTracker:
+    reader = acceptance.RolloutLogTracker(given.trust)
     try:
         while True:
             page = await log.read(bundle_record.STREAM, reader.next_offset, 0.0)
@@ -146,7 +146,7 @@
             for record in page.records:
                 parsed = bundle_record.parse_record(record.body)
                 if parsed is not None:
-                    reader.read(record.offset, parsed)
+                    reader.apply(record.offset, parsed)
             if not page.records or reader.next_offset >= page.next_offset:
                 return reader
     except log_client.PlatformError as error:
--- a/ramptray/controller/main.py
+++ b/ramptray/controller/main.py
@@ -31,7 +31,7 @@
         process_runtime = runtime.make_runtime("controller", settings)
         self._settings = settings
         self._timeline = process_runtime.timeline
-        self._learner = acceptance.Learner()
+        self._learner = acceptance.BundleTracker()
         times = lease.LeaseTimes(LEASE_TERM_S, settings.order_timeout_s)
         # A random suffix makes a restarted controller a different holder.
         state = lease.Lease(
@@ -67,7 +67,10 @@
     def _handle_message(self, body: object) -> None:
         match body:
             case peer_message.BundleUpdate(envelope):
-                if self._learner.learn(envelope) and self._learner.in_force:
+                if (
+                    self._learner.apply_peer_bundle(envelope)
+                    and self._learner.in_force
+                ):
                     self.reconciler.set_bundle(self._learner.in_force)
                 in_force = self._learner.in_force
                 if in_force is not None:
--- a/ramptray/engine/client.py
+++ b/ramptray/engine/client.py
@@ -54,7 +54,7 @@
     """The connection broke after the request was sent."""
 
 
-class GoneError(EngineError):
+class UnknownStreamError(EngineError):
     """The engine does not know the stream (any more)."""
 
 
@@ -139,7 +139,7 @@
         path = f"/v1/streams/{request_id}?after={after}"
         async with self._open("GET", url, path) as response:
             if response.status == 404:
-                raise GoneError(request_id)
+                raise UnknownStreamError(request_id)
             if response.status != 200:
                 raise BrokenError(f"status {response.status}")
             yield _iterate(response)
--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -117,7 +117,7 @@
         )
         self._budget = budget or retry.RetryBudget()
         self.on_silent_owner: Callable[[str], None] = _do_nothing
-        self._learner = acceptance.Learner()
+        self._learner = acceptance.BundleTracker()
         self._has_work = anyio.Event()
         self._tasks: anyio.abc.TaskGroup | None = None
         self._lag = lag.TickLag(TICK_INTERVAL_S)
@@ -488,7 +488,7 @@
                     self._open_link(owner)
 
     def _take_bundle(self, address: str, envelope: signature.Envelope) -> None:
-        if self._learner.learn(envelope):
+        if self._learner.apply_peer_bundle(envelope):
             assert self._learner.in_force is not None
             self.backends.apply_bundle(self._learner.in_force)
             generation = self._learner.in_force.generation
--- a/ramptray/entry/exchange.py
+++ b/ramptray/entry/exchange.py
@@ -163,7 +163,7 @@
                     gives_up_at = max(gives_up_at, self._ticket.deadline)
                     await self._pass_on(events)
                     return
-            except engine_client.GoneError:
+            except engine_client.UnknownStreamError:
                 self._lose(message.Reason.BACKEND_LOST)
                 return
             except engine_client.NotSentError:
--- a/ramptray/load/main.py
+++ b/ramptray/load/main.py
@@ -14,7 +14,7 @@
 
 import ramptray
 from ramptray import process, steadyclock
-from ramptray.bundle import text
+from ramptray.bundle import parsing
 from ramptray.load import plan, report, shooter
 
 PROGRESS_S = 1.0
@@ -105,8 +105,8 @@
     in the settings or arguments.
     """
     try:
-        settings = text.read_model(settings_file, plan.LoadSettings)
-    except text.TextError as error:
+        settings = parsing.read_model(settings_file, plan.LoadSettings)
+    except parsing.InvalidFileError as error:
         click.echo(str(error), err=True)
         sys.exit(process.EXIT_MISTAKE)
 
--- a/ramptray/log/mirror.py
+++ b/ramptray/log/mirror.py
@@ -162,7 +162,9 @@
         if self._whole is None or self._whole[0] != end:
             records = [self._pack(c, -1) for c in self._newest.values()]
             records.sort(key=lambda record: record.position)
-            packed = delta.pack(b"", _RECORDS_ENCODER.encode(records))
+            packed = delta.make_binary_delta(
+                b"", _RECORDS_ENCODER.encode(records)
+            )
             self._whole = (end, packed)
         return self._whole[1]
 
@@ -184,7 +186,7 @@
         name = (change.key, change.position, base.position if base else -1)
         if name not in self._packed:
             former = base.value if base else b""
-            self._packed[name] = delta.pack(former, value)
+            self._packed[name] = delta.make_binary_delta(former, value)
             while len(self._packed) > MAX_PACKED_VALUES:
                 self._packed.popitem(last=False)
         return peer_message.StreamRecord(
@@ -200,7 +202,7 @@
         if packed is None or record.digest is None:
             return keyedstream.Change(record.key, packed, record.position)
         try:
-            value = delta.unpack(self._find(record), packed)
+            value = delta.apply_binary_delta(self._find(record), packed)
         except delta.DeltaError as error:
             raise MirrorError(f"{record.key}: {error}") from error
         if xxhash.xxh3_64_intdigest(value) != record.digest:
@@ -227,6 +229,6 @@
         MirrorError: They are damaged.
     """
     try:
-        return _RECORDS_DECODER.decode(delta.unpack(b"", packed))
+        return _RECORDS_DECODER.decode(delta.apply_binary_delta(b"", packed))
     except (delta.DeltaError, msgspec.MsgspecError) as error:
         raise MirrorError(f"the whole stream: {error}") from error
--- a/ramptray/platform/config.py
+++ b/ramptray/platform/config.py
@@ -79,7 +79,7 @@
 
 
 class _Engine(_Wire, frozen=True, kw_only=True):
-    slots: model.EnginePlaces
+    slots: model.EngineSlots
     kv_tokens: model.PositiveInt = msgspec.field(
         name="kvTokens", default=KV_UNBOUNDED
     )
@@ -172,7 +172,7 @@
             # Decoded again as a whole for an error that names each place.
             match validation.convert(fields, _Config, strict=False):
                 case Err(mistakes):
-                    text = validation.format_mistakes(mistakes)
+                    text = validation.format_violations(mistakes)
                     raise ConfigError(text) from error
                 case Ok(_):
                     raise ConfigError(str(error)) from error
--- a/ramptray/platform/settings.py
+++ b/ramptray/platform/settings.py
@@ -174,7 +174,7 @@
         case Ok(raw):
             return _make_settings(raw)
         case Err(mistakes):
-            text = validation.format_mistakes(mistakes)
+            text = validation.format_violations(mistakes)
             raise SettingsError(f"{path}: {text}")
 
 
--- a/ramptray/process.py
+++ b/ramptray/process.py
@@ -20,7 +20,7 @@
 
 import ramptray
 from ramptray import logsink
-from ramptray.bundle import text
+from ramptray.bundle import parsing
 
 LOG = logging.getLogger(__name__)
 
@@ -75,8 +75,8 @@
     )
     def command(settings_file: pathlib.Path) -> None:
         try:
-            settings = text.read_model(settings_file, kind)
-        except text.TextError as error:
+            settings = parsing.read_model(settings_file, kind)
+        except parsing.InvalidFileError as error:
             click.echo(str(error), err=True)
             sys.exit(EXIT_MISTAKE)
         set_up_logs(name, getattr(settings, "log_level", "INFO"))
--- a/ramptray/scheduler/follower.py
+++ b/ramptray/scheduler/follower.py
@@ -96,7 +96,7 @@
         super().__init__(client, FETCH_TIMEOUT_S)
         self._log = log
         self._operators = operators
-        self._acceptance = acceptance.Acceptance(operators)
+        self._acceptance = acceptance.RolloutLogTracker(operators)
         self._reader = _BundleReader(log, self)
         self._rng = rng
         self._on_change = on_change
@@ -156,7 +156,9 @@
         self, address: str, answer: peer_message.FetchedBundle
     ) -> None:
         """See the base class."""
-        if answer.envelope and self._acceptance.learn(answer.envelope):
+        if answer.envelope and self._acceptance.apply_peer_bundle(
+            answer.envelope
+        ):
             self._announce()
 
     @property
@@ -173,9 +175,9 @@
         LOG.warning(
             "no checkpoint in recent records; reading from the oldest one"
         )
-        fresh = acceptance.Acceptance(self._operators)
+        fresh = acceptance.RolloutLogTracker(self._operators)
         if self.in_force:
-            fresh.learn(self.in_force.envelope)
+            fresh.apply_peer_bundle(self.in_force.envelope)
         self._acceptance = fresh
 
     async def apply_page(self, page: log_client.Page) -> None:
@@ -186,11 +188,11 @@
             if parsed is None:
                 LOG.warning("record %s is not a bundle", log_record.offset)
                 continue
-            verdict = self._acceptance.read(log_record.offset, parsed)
+            verdict = self._acceptance.apply(log_record.offset, parsed)
             LOG.info("bundle record", extra={"verdict": verdict.value})
             self._announce()
             self._since_checkpoint += 1
-            if verdict is acceptance.Verdict.CHECKPOINT:
+            if verdict is acceptance.RolloutStatus.CHECKPOINT:
                 self._reset_checkpoint_count()
         caught_up = self._acceptance.next_offset >= page.next_offset
         if caught_up and self._needs_older_records(page.first_retained):
@@ -200,7 +202,7 @@
     def _needs_older_records(self, first_retained: int) -> bool:
         """Returns whether skipped records are needed to find a valid bundle."""
         has_no_view = self._acceptance.log_view is None
-        return has_no_view and self._acceptance.first_read > first_retained
+        return has_no_view and self._acceptance.first_offset > first_retained
 
     async def _append_checkpoint_if_due(self) -> None:
         """Appends a checkpoint if one is due.
--- a/ramptray/scheduler/rules.py
+++ b/ramptray/scheduler/rules.py
@@ -14,7 +14,7 @@
     service = bundle.services[key.service]
     divisor = service.shards * len(bundle.zones)
     return shard_rules.ShardRules(
-        ranks=bundle.get_ranks(),
+        ranks=bundle.get_tier_ranks(),
         queue_cost=service.queue_tokens // service.shards,
         headroom=service.headroom,
         shares={name: c.share for name, c in bundle.customers.items()},
--- a/ramptray/service/client.py
+++ b/ramptray/service/client.py
@@ -39,7 +39,7 @@
     body: bytes
 
 
-class Answer(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """A whole answer of a plain service."""
 
     status: int
@@ -55,7 +55,7 @@
             max_connections=1024, max_keepalive_connections=64
         )
 
-    async def call(self, url: str, call: Call) -> Answer:
+    async def call(self, url: str, call: Call) -> Response:
         """Sends the call once and returns the whole answer.
 
         Raises:
@@ -79,4 +79,4 @@
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in response.headers
         ]
-        return Answer(response.status, headers, response.content)
+        return Response(response.status, headers, response.content)
--- a/ramptray/standin/engine/main.py
+++ b/ramptray/standin/engine/main.py
@@ -55,7 +55,7 @@
     cache_blocks: model.Count = 512
     report_lag_s: model.NonNegativeFloat = 1.0
     cache_event_lag_s: model.NonNegativeFloat = 0.5
-    cache_event_loss: model.Part = 0.05
+    cache_event_loss: model.Fraction = 0.05
     checks_fencing: bool = False
     versions: list[str] = []
     load_s: model.NonNegativeFloat = 0.2
--- a/test/test_adapter.py
+++ b/test/test_adapter.py
@@ -45,7 +45,7 @@
     raw["tenants"][0]["priority"] = 1
     bundle = config.parse_config(json.dumps(raw))
     tier = bundle.customers["ola"].route_tiers[bundle.routes["safe"].tier]
-    ranks = bundle.get_ranks()
+    ranks = bundle.get_tier_ranks()
     high = bundle.customers["ola"].route_tiers[bundle.routes["once"].tier]
     other = bundle.customers["small"].route_tiers[bundle.routes["safe"].tier]
     assert ranks[other] < ranks[high] < ranks[tier]
--- a/test/test_bundle.py
+++ b/test/test_bundle.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from result import Err, Ok
 
-from ramptray.bundle import acceptance, delta, model, signature, text
+from ramptray.bundle import acceptance, delta, model, parsing, signature
 from ramptray.bundle import record as bundle_record
 
 PRIVATE = {name: signature.make_private_key() for name in ("anna", "bela")}
@@ -52,9 +52,9 @@
 )
 
 
-def make_reader() -> acceptance.Acceptance:
+def make_reader() -> acceptance.RolloutLogTracker:
     trust = model.Operators(keys=PUBLIC, signatures_required=2)
-    return acceptance.Acceptance(trust)
+    return acceptance.RolloutLogTracker(trust)
 
 
 def test_a_small_change_is_a_small_record_and_is_accepted_alike() -> None:
@@ -63,10 +63,10 @@
     body = bundle_record.format_record(record)
     assert len(json.dumps(body)) < len(SECOND.text) / 10
     reader = make_reader()
-    reader.read(0, acceptance.Rollout(FIRST))
+    reader.apply(0, acceptance.Rollout(FIRST))
     parsed = bundle_record.parse_record(body)
     assert parsed == record
-    assert reader.read(1, parsed) is acceptance.Verdict.ACCEPTED
+    assert reader.apply(1, parsed) is acceptance.RolloutStatus.ACCEPTED
     assert reader.in_force is not None
     assert reader.in_force.envelope == SECOND
 
@@ -75,13 +75,13 @@
     record = bundle_record.make_rollout(SECOND, FIRST)
     assert isinstance(record, acceptance.DeltaRollout)
     reader = make_reader()
-    assert reader.read(0, record) is acceptance.Verdict.WRONG_BASE
-    reader.read(1, acceptance.Rollout(FIRST))
+    assert reader.apply(0, record) is acceptance.RolloutStatus.WRONG_BASE
+    reader.apply(1, acceptance.Rollout(FIRST))
     last = "1" if FIRST.digest.endswith("0") else "0"
     forged = msgspec.structs.replace(record, digest=FIRST.digest[:-1] + last)
-    assert reader.read(2, forged) is acceptance.Verdict.INVALID
+    assert reader.apply(2, forged) is acceptance.RolloutStatus.INVALID
     broken = msgspec.structs.replace(record, delta="AAAA", digest="sha256:0")
-    assert reader.read(3, broken) is acceptance.Verdict.INVALID
+    assert reader.apply(3, broken) is acceptance.RolloutStatus.INVALID
 
 
 @settings(derandomize=True, deadline=None)
@@ -93,11 +93,11 @@
 def test_too_few_signatures_are_refused() -> None:
     reader = make_reader()
     alone = make_signed(make_body(1, None), "anna")
-    verdict = reader.read(0, acceptance.Rollout(alone))
-    assert verdict is acceptance.Verdict.BAD_SIGNATURE
+    verdict = reader.apply(0, acceptance.Rollout(alone))
+    assert verdict is acceptance.RolloutStatus.BAD_SIGNATURE
     moved = msgspec.structs.replace(FIRST, text=FIRST.text + " ")
-    verdict = reader.read(1, acceptance.Rollout(moved))
-    assert verdict is acceptance.Verdict.BAD_SIGNATURE
+    verdict = reader.apply(1, acceptance.Rollout(moved))
+    assert verdict is acceptance.RolloutStatus.BAD_SIGNATURE
     assert reader.in_force is None
 
 
@@ -105,9 +105,9 @@
     record = bundle_record.make_rollout(SECOND, FIRST)
     reader = make_reader()
     reader.skip_to(5)
-    reader.read(5, record)
+    reader.apply(5, record)
     assert reader.in_force is None
-    reader.read(6, acceptance.Checkpoint(FIRST, 4))
+    reader.apply(6, acceptance.Checkpoint(FIRST, 4))
     assert reader.in_force is not None
     assert reader.in_force.envelope == SECOND
 
@@ -117,7 +117,7 @@
     {"generation": 0, "operators": {"keys": {}}, "zones": ["Waw"],
      "tiers": {"a": {"order": 0, "deadline_s": -1}}, "surplus": 1,
      "customers": {}, "services": {}, "engines": {}, "backend_servers": {}}"""
-    match text.parse_bundle(raw):
+    match parsing.parse_bundle(raw):
         case Ok(_):
             pytest.fail("accepted")
         case Err(mistakes):
@@ -189,7 +189,7 @@
 def test_what_cannot_work_is_refused(
     changes: dict[str, Any], path: str
 ) -> None:
-    match text.parse_bundle(make_body(1, None, **changes)):
+    match parsing.parse_bundle(make_body(1, None, **changes)):
         case Ok(_):
             pytest.fail("accepted")
         case Err(mistakes):
--- a/test/test_conformance.py
+++ b/test/test_conformance.py
@@ -122,9 +122,9 @@
 
 def drive_reader(
     trace: tuple[str, ...], envelopes: dict[str, signature.Envelope]
-) -> acceptance.Acceptance:
+) -> acceptance.RolloutLogTracker:
     """Drives a reader along a trace of the specification."""
-    reader = acceptance.Acceptance(TRUST)
+    reader = acceptance.RolloutLogTracker(TRUST)
     log: list[str] = []
     first = place = 0
     for label in trace:
@@ -140,7 +140,7 @@
             case "read":
                 record = log[place]
                 envelope = envelopes[record[0]]
-                reader.read(
+                reader.apply(
                     place,
                     acceptance.Rollout(envelope)
                     if len(record) == 1
--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -13,7 +13,7 @@
 
 from bench import reference
 from ramptray import settings
-from ramptray.bundle import text
+from ramptray.bundle import parsing
 from ramptray.caller import refusal
 from ramptray.core import message
 from ramptray.node import settings as node_settings
@@ -65,7 +65,7 @@
     name: str, kind: type[msgspec.Struct]
 ) -> None:
     path = DOCS.parent / "example" / f"{name}.json5"
-    text.read_model(path, kind)
+    parsing.read_model(path, kind)
     assert list_named(path) == list_fields(kind)
 
 
@@ -91,6 +91,6 @@
 
 def test_the_deploy_file_s_settings_name_every_setting() -> None:
     path = DOCS.parent / "deploy" / "node.json5"
-    read = text.read_model(path, node_settings.NodeSettings)
+    read = parsing.read_model(path, node_settings.NodeSettings)
     assert read == node_settings.NodeSettings()
     assert list_named(path) == list_fields(node_settings.NodeSettings)
--- a/test/test_scenario.py
+++ b/test/test_scenario.py
@@ -582,20 +582,20 @@
 
     first: signature.Envelope
     log: list[acceptance.Record]
-    readers: list[acceptance.Acceptance]
+    readers: list[acceptance.RolloutLogTracker]
     rivals: list[signature.Envelope]
-    cut_off: acceptance.Acceptance | None = None
+    cut_off: acceptance.RolloutLogTracker | None = None
 
     def publish(self, record: acceptance.Record) -> None:
         self.log.append(record)
         for reader in self.readers:
-            reader.read(len(self.log) - 1, record)
+            reader.apply(len(self.log) - 1, record)
 
 
 @given("a bundle in force", target_fixture="bundles")
 def _() -> BundleWorld:
     first = make_envelope(1, None, "first")
-    readers = [acceptance.Acceptance(TRUST) for _ in range(2)]
+    readers = [acceptance.RolloutLogTracker(TRUST) for _ in range(2)]
     made = BundleWorld(first, [], readers, [])
     made.publish(acceptance.Rollout(first))
     return made
@@ -603,8 +603,8 @@
 
 @given("a reader that was cut off")
 def _(bundles: BundleWorld) -> None:
-    bundles.cut_off = acceptance.Acceptance(TRUST)
-    bundles.cut_off.read(0, bundles.log[0])
+    bundles.cut_off = acceptance.RolloutLogTracker(TRUST)
+    bundles.cut_off.apply(0, bundles.log[0])
 
 
 @when("two rivals are published on it")
@@ -629,7 +629,7 @@
     bundles.publish(acceptance.Checkpoint(bundles.rivals[0], 1))
     bundles.cut_off.skip_to(2)
     for offset in (2, 3):
-        bundles.cut_off.read(offset, bundles.log[offset])
+        bundles.cut_off.apply(offset, bundles.log[offset])
 
 
 @then("both readers have the first in force")
@@ -641,8 +641,8 @@
 
 @then("the second is told to rebase")
 def _(bundles: BundleWorld) -> None:
-    verdict = bundles.readers[0].verdicts[bundles.rivals[1].digest]
-    assert verdict is acceptance.Verdict.WRONG_BASE
+    verdict = bundles.readers[0].statuses[bundles.rivals[1].digest]
+    assert verdict is acceptance.RolloutStatus.WRONG_BASE
 
 
 @then("the reader that was cut off has the first in force")
@@ -655,6 +655,6 @@
 @then("an older bundle from a peer changes nothing")
 def _(bundles: BundleWorld) -> None:
     assert bundles.cut_off is not None
-    assert not bundles.cut_off.learn(bundles.first)
+    assert not bundles.cut_off.apply_peer_bundle(bundles.first)
     assert bundles.cut_off.in_force is not None
     assert bundles.cut_off.in_force.envelope == bundles.rivals[0]
