--- a/ramptray/platform/header.py
+++ b/ramptray/platform/header.py
@@ -177,7 +177,7 @@
             headers=_leave_out(headers, frozenset({NOT_RUN})),
             request_id=_read_text(values.get(ID)),
             not_run=NOT_RUN in values or status == _MISDIRECTED,
-            idle_timeout_s=_read_keep_alive(values.get(_KEEP_ALIVE, b"")),
+            idle_s=_read_keep_alive(values.get(_KEEP_ALIVE, b"")),
             limit_per_s=self._read_decimal(headers, LIMIT),
             is_leaving=LEAVING in values and self._read_leaving(headers),
             pause_s=(
--- a/ramptray/relay/connection.py
+++ b/ramptray/relay/connection.py
@@ -175,9 +175,9 @@
                 event.status_code, list(event.headers.raw_items())
             )
             if head.request_id in (None, request_id):
-                if head.idle_timeout_s is not None:
+                if head.idle_s is not None:
                     self.idle_timeout_s = max(
-                        0.0, head.idle_timeout_s - IDLE_MARGIN_S
+                        0.0, head.idle_s - IDLE_MARGIN_S
                     )
                 return head
             await self._skip_surplus(head)
--- a/ramptray/relay/message.py
+++ b/ramptray/relay/message.py
@@ -87,8 +87,8 @@
         headers: Headers that travel on, those of one connection left out.
         request_id: The request that it answers; None where it does not say.
         not_run: Whether it says that the request has not run and never will.
-        idle_timeout_s: Seconds that the connection may then stay idle; None
-            where the response does not say.
+        idle_s: Seconds that the connection may then stay idle; None where the
+            response does not say.
         limit_per_s: Requests a second that the backend server accepts from
             all VMs together; None where it names no limit.
         is_leaving: Whether the backend server says that it is leaving.
@@ -100,7 +100,7 @@
     headers: Headers
     request_id: str | None
     not_run: bool
-    idle_timeout_s: float | None
+    idle_s: float | None
     limit_per_s: float | None = None
     is_leaving: bool = False
     pause_s: float | None = None
--- a/test/test_fuzz.py
+++ b/test/test_fuzz.py
@@ -89,7 +89,7 @@
     answer = dialect.parse_response_head(status, headers)
     assert is_amount(answer.limit_per_s)
     assert is_amount(answer.pause_s)
-    assert is_amount(answer.idle_timeout_s)
+    assert is_amount(answer.idle_s)
     assert answer.pause_s is None or status == 503
     assert len(answer.headers) <= len(headers)
 
