--- a/ramptray/relay/backend_probe.py
+++ b/ramptray/relay/backend_probe.py
@@ -11,7 +11,6 @@
 """How long a look may take, in seconds: an address where nothing listens says
 so within a round trip of some milliseconds, on a slow VM some ten."""
 
-
 CLOSE_WATCH_S = 0.02
 """How long a new connection is watched, in seconds: of a program that ends the
 kernel closes one socket after the other, perhaps the listening one last."""
@@ -40,10 +39,10 @@
     Args:
         address: IP number and port of the backend server.
     """
-    seen = await _try_to_connect(address)
-    if seen is None:
-        seen = await _try_to_connect(address)
-    return seen or ProbeResult.SILENT
+    result = await _try_to_connect(address)
+    if result is None:
+        result = await _try_to_connect(address)
+    return result or ProbeResult.SILENT
 
 
 async def _try_to_connect(address: str) -> ProbeResult | None:
--- a/ramptray/relay/client.py
+++ b/ramptray/relay/client.py
@@ -14,15 +14,15 @@
 from ramptray.relay import connection as connections
 from ramptray.relay import dialect as dialects
 
-ONCE_IDLE_S = 5.0
+MAX_IDLE_NOT_REPEATABLE_S = 5.0
 """How long a connection may have been idle to carry a request that may run only
 once: if it closes as the request is sent, nobody knows whether it ran.  That
 takes a round trip of bad luck; a connection that is closed already is seen."""
 
-HUNG_S = 1.0
+HANG_WINDOW_S = 1.0
 """Backend servers that hang within this time, in seconds, hang together."""
 
-HUNG_TOGETHER = 2
+MIN_SIMULTANEOUS_HANGS = 2
 """So many that hang together may be sound behind silent connections."""
 
 
@@ -44,7 +44,7 @@
             collections.defaultdict(list)
         )
         self._borrowed: set[connections.Connection] = set()
-        self._hung_at: dict[str, float] = {}
+        self._last_hang_at: dict[str, float] = {}
 
     @contextlib.asynccontextmanager
     async def borrow(
@@ -61,16 +61,16 @@
         """
         connection = await self._checkout(target, not_repeatable)
         self._borrowed.add(connection)
-        kept = False
+        reuse = False
         try:
             yield connection
-            kept = connection.reusable
+            reuse = connection.reusable
         except connections.HungError:
-            self._note_hang(target, steadyclock.read())
+            self._record_hang(target, steadyclock.read())
             raise
         finally:
             self._borrowed.discard(connection)
-            if kept:
+            if reuse:
                 connection.start_next_cycle()
                 connection.idle_since = steadyclock.read()
                 self._idle[target.address].append(connection)
@@ -84,16 +84,16 @@
         A run that lost its power says nothing: requests at work there would be
         waited for until their callers' deadlines.
         """
-        now = connections.Target("", backend, run)
-        former = [
+        current = connections.Target("", backend, run)
+        stale = [
             connection
             for connection in (
                 *itertools.chain(*self._idle.values()),
                 *self._borrowed,
             )
-            if connection.target.is_other_run(now)
+            if connection.target.is_other_run(current)
         ]
-        for connection in former:
+        for connection in stale:
             # Idle ones are not lent again; what is lent breaks for its user.
             connection.idle_timeout_s = 0.0
             await connection.close()
@@ -102,7 +102,7 @@
         """Closes connections that have been idle for long, until cancelled."""
         while True:
             await anyio.sleep(connections.IDLE_MARGIN_S)
-            await self.close_idle(steadyclock.read())
+            await self.close_expired(steadyclock.read())
 
     def expire_idle(self, addresses: Iterable[str]) -> None:
         """Lends no idle connection to these backend servers any more.
@@ -118,17 +118,21 @@
         """Lends no idle connection any more."""
         self.expire_idle(list(self._idle))
 
-    def _note_hang(self, target: connections.Target, now: float) -> None:
+    def _record_hang(self, target: connections.Target, now: float) -> None:
         """Distrusts idle connections beside one on which nothing came.
 
         Open connections may fall silent in numbers.  Where several backend
         servers hang at once the connections are the likelier reason.
         """
-        self._hung_at[target.address] = now
-        hung = {a: at for a, at in self._hung_at.items() if now - at < HUNG_S}
-        self._hung_at = hung
-        many = len(hung) >= HUNG_TOGETHER
-        self.expire_idle(list(self._idle) if many else [target.address])
+        self._last_hang_at[target.address] = now
+        hung = {
+            address: at
+            for address, at in self._last_hang_at.items()
+            if now - at < HANG_WINDOW_S
+        }
+        self._last_hang_at = hung
+        simultaneous = len(hung) >= MIN_SIMULTANEOUS_HANGS
+        self.expire_idle(list(self._idle) if simultaneous else [target.address])
 
     async def probe(self, url: str) -> bool:
         """Returns whether there is a way to a backend server.
@@ -144,14 +148,16 @@
         self._idle[address].append(connection)
         return True
 
-    async def close_idle(self, now: float) -> None:
+    async def close_expired(self, now: float) -> None:
         """Closes the connections that are idle for too long."""
         for idle in list(self._idle.values()):
-            old = [c for c in idle if now - c.idle_since >= c.idle_timeout_s]
+            expired = [
+                c for c in idle if now - c.idle_since >= c.idle_timeout_s
+            ]
             # The list stays the same one: others may be taking from it.
-            for connection in old:
+            for connection in expired:
                 idle.remove(connection)
-            for connection in old:
+            for connection in expired:
                 await connection.close()
 
     async def _checkout(
@@ -161,12 +167,15 @@
         idle = self._idle[target.address]
         while idle:
             connection = idle.pop()
-            longest = connection.idle_timeout_s
+            max_idle_s = connection.idle_timeout_s
             if not_repeatable:
-                longest = min(longest, ONCE_IDLE_S)
+                max_idle_s = min(max_idle_s, MAX_IDLE_NOT_REPEATABLE_S)
             if connection.target.is_other_run(target):
-                longest = 0.0
-            if now - connection.idle_since < longest and connection.is_usable():
+                max_idle_s = 0.0
+            if (
+                now - connection.idle_since < max_idle_s
+                and connection.is_usable()
+            ):
                 self.counters.reused += 1
                 connection.target = target
                 return connection
--- a/ramptray/relay/connection.py
+++ b/ramptray/relay/connection.py
@@ -17,22 +17,22 @@
 
 LOG = logging.getLogger(__name__)
 
-CONNECT_S = 0.12
+CONNECT_TIMEOUT_S = 0.12
 """Longest time to open a connection, in seconds: some fifty round trips of a
 deployment whose zones are about a millisecond apart."""
 
-IDLE_S = 10.0
+DEFAULT_IDLE_TIMEOUT_S = 10.0
 """How long an idle connection is kept where the backend server says nothing."""
 
 IDLE_MARGIN_S = 1.0
 """How much earlier than the backend server an idle connection is given up."""
 
-SEND_S = 30.0
+SEND_TIMEOUT_S = 30.0
 """Longest time a backend server may leave a request unread, in seconds; a
 request's own time ends before."""
 
 MAX_HEAD_BYTES = 65536
-MAX_SURPLUS = 4
+MAX_SKIPPED_RESPONSES = 4
 """Answers to other requests that are skipped at most."""
 
 
@@ -90,19 +90,19 @@
         self.target = target
         self.address = target.address
         self.idle_since = 0.0
-        self.idle_timeout_s = IDLE_S
+        self.idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
         self._stream = stream
         self._dialect = dialect
         self._http = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
         self._method = b"GET"
-        self._whole = False
+        self._response_complete = False
 
     @property
     def reusable(self) -> bool:
         """Whether the last exchange left the connection clean."""
         http = self._http
         return (
-            self._whole
+            self._response_complete
             and http.our_state is h11.DONE
             and http.their_state is h11.DONE
             and not http.trailing_data[0]
@@ -113,11 +113,11 @@
 
         Bytes that nobody asked for, an end or an error make it useless.
         """
-        raw = self._stream.get_socket()
-        if raw is None or not self._stream.is_open_and_empty:
+        sock = self._stream.get_socket()
+        if sock is None or not self._stream.is_open_and_empty:
             return False
         poll = select.poll()
-        poll.register(raw.fileno(), select.POLLIN | select.POLLHUP)
+        poll.register(sock.fileno(), select.POLLIN | select.POLLHUP)
         return not poll.poll(0)
 
     async def send(
@@ -133,7 +133,7 @@
             length = str(len(request.body)).encode()
             headers.append((b"Content-Length", length))
         self._method = request.method
-        self._whole = False
+        self._response_complete = False
         try:
             head = h11.Request(
                 method=request.method, target=request.target, headers=headers
@@ -141,7 +141,7 @@
             data = self._http.send(head) or b""
             data += self._http.send(h11.Data(data=request.body)) or b""
             data += self._http.send(h11.EndOfMessage()) or b""
-            await self._stream.send(data, SEND_S)
+            await self._stream.send(data, SEND_TIMEOUT_S)
         except (
             TimeoutError,
             anyio.BrokenResourceError,
@@ -151,7 +151,7 @@
             raise BrokenError(f"{self.address}: {error!r}") from error
 
     async def read_head(
-        self, request_id: str, wait_s: float | None = None
+        self, request_id: str, timeout_s: float | None = None
     ) -> message.ResponseHead:
         """Returns the head of the answer to this request.
 
@@ -159,16 +159,16 @@
 
         Args:
             request_id: The request.
-            wait_s: Longest silence, in seconds; None for without end.
+            timeout_s: Longest silence, in seconds; None for without end.
 
         Raises:
             BrokenError: There is no answer.
             TimeoutError: Nothing came in time; it may be called again.
         """
-        for _ in range(MAX_SURPLUS):
-            event = await self._next_event(wait_s)
+        for _ in range(MAX_SKIPPED_RESPONSES):
+            event = await self._next_event(timeout_s)
             while isinstance(event, h11.InformationalResponse):
-                event = await self._next_event(wait_s)
+                event = await self._next_event(timeout_s)
             if not isinstance(event, h11.Response):
                 raise BrokenError(f"{self.address}: no answer's head")
             head = self._dialect.parse_response_head(
@@ -176,11 +176,9 @@
             )
             if head.request_id in (None, request_id):
                 if head.idle_s is not None:
-                    self.idle_timeout_s = max(
-                        0.0, head.idle_s - IDLE_MARGIN_S
-                    )
+                    self.idle_timeout_s = max(0.0, head.idle_s - IDLE_MARGIN_S)
                 return head
-            await self._skip_surplus(head)
+            await self._skip_response(head)
         raise BrokenError(f"{self.address}: only answers to other requests")
 
     async def iterate_body(self) -> AsyncIterator[bytes]:
@@ -192,19 +190,19 @@
         while (part := await self.read_part()) is not None:
             yield part
 
-    async def read_part(self, wait_s: float | None = None) -> bytes | None:
+    async def read_part(self, timeout_s: float | None = None) -> bytes | None:
         """Returns the next bytes of the answer's body; None at its end.
 
         Args:
-            wait_s: Longest silence, in seconds; None for without end.
+            timeout_s: Longest silence, in seconds; None for without end.
 
         Raises:
             BrokenError: It ends early.
             TimeoutError: Nothing came in time; it may be called again.
         """
-        event = await self._next_event(wait_s)
+        event = await self._next_event(timeout_s)
         if isinstance(event, h11.EndOfMessage):
-            self._whole = True
+            self._response_complete = True
             return None
         if not isinstance(event, h11.Data):
             raise BrokenError(f"{self.address}: the answer ended early")
@@ -226,40 +224,40 @@
         """Makes ready for the next request."""
         self._http.start_next_cycle()
 
-    async def _skip_surplus(self, head: message.ResponseHead) -> None:
+    async def _skip_response(self, head: message.ResponseHead) -> None:
         """Reads an answer to another request to its end, and starts anew."""
         LOG.info(
             "skipped an answer to another request",
             extra={"backend": self.address, "request_id": head.request_id},
         )
         await self.read_body()
-        self._whole = False
-        rest, ended = self._http.trailing_data
-        if ended:
+        self._response_complete = False
+        trailing, closed = self._http.trailing_data
+        if closed:
             raise BrokenError(f"{self.address}: closed after a surplus answer")
         self._http = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
         # The parser only reads an answer where it has seen a request.
-        again = h11.Request(
+        placeholder = h11.Request(
             method=self._method, target=b"/", headers=[(b"Host", b"-")]
         )
-        self._http.send(again)
+        self._http.send(placeholder)
         self._http.send(h11.EndOfMessage())
-        if rest:
-            self._http.receive_data(rest)
+        if trailing:
+            self._http.receive_data(trailing)
 
-    async def _next_event(self, wait_s: float | None = None) -> Any:
+    async def _next_event(self, timeout_s: float | None = None) -> Any:
         while True:
             try:
                 event = self._http.next_event()
                 if event is not h11.NEED_DATA:
                     return event
-                self._http.receive_data(await self._receive(wait_s))
+                self._http.receive_data(await self._receive(timeout_s))
             except h11.RemoteProtocolError as error:
                 raise BrokenError(f"{self.address}: {error}") from error
 
-    async def _receive(self, wait_s: float | None) -> bytes:
+    async def _receive(self, timeout_s: float | None) -> bytes:
         try:
-            return await self._stream.receive(wait_s)
+            return await self._stream.receive(timeout_s)
         except anyio.EndOfStream:
             return b""
         except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
@@ -277,7 +275,7 @@
     address = target.address
     host, _, port = address.rpartition(":")
     try:
-        with anyio.fail_after(CONNECT_S):
+        with anyio.fail_after(CONNECT_TIMEOUT_S):
             stream = await streams.connect(host, int(port))
     except (OSError, TimeoutError) as error:
         refused = not isinstance(error, TimeoutError)
--- a/ramptray/relay/content.py
+++ b/ramptray/relay/content.py
@@ -11,26 +11,28 @@
 with a probability of one in 10^11."""
 
 
-def make_digest(asked: message.CallerRequest, customer: str, key: bytes) -> str:
+def make_digest(
+    request: message.CallerRequest, customer: str, key: bytes
+) -> str:
     """Returns what requests of the same content have in common.
 
     Same are those of one customer with the same method, host, path, query and
     body, whatever id or headers they carry.
 
     Args:
-        asked: The request.
+        request: The request.
         customer: The customer whose key the caller holds.
         key: Secret of the deployment: without it nobody can find out from a
             log line whether a request had a certain body.
     """
-    hashed = hashlib.blake2b(key=key, digest_size=DIGEST_BYTES)
+    hasher = hashlib.blake2b(key=key, digest_size=DIGEST_BYTES)
     for part in (
         customer.encode(),
-        asked.method,
-        asked.host.encode(),
-        asked.target,
-        asked.body,
+        request.method,
+        request.host.encode(),
+        request.target,
+        request.body,
     ):
-        hashed.update(len(part).to_bytes(8))
-        hashed.update(part)
-    return hashed.hexdigest()
+        hasher.update(len(part).to_bytes(8))
+        hasher.update(part)
+    return hasher.hexdigest()
--- a/ramptray/relay/event.py
+++ b/ramptray/relay/event.py
@@ -23,21 +23,21 @@
     def __init__(self) -> None:
         self.last_id: str | None = None
         self.count = 0
-        self._rest = b""
+        self._remainder = b""
 
     def split(self, data: bytes) -> bytes:
         """Returns the whole events that these bytes complete."""
-        buffered = self._rest + data
+        buffered = self._remainder + data
         end = 0
         for found in _END.finditer(buffered):
             end = found.end()
             self.count += 1
-        whole, self._rest = buffered[:end], buffered[end:]
-        if ids := _ID.findall(whole):
+        complete, self._remainder = buffered[:end], buffered[end:]
+        if ids := _ID.findall(complete):
             self.last_id = ids[-1].decode("latin-1")
-        return whole
+        return complete
 
     def take_remainder(self) -> bytes:
         """Returns what follows the last whole event."""
-        rest, self._rest = self._rest, b""
-        return rest
+        remainder, self._remainder = self._remainder, b""
+        return remainder
--- a/ramptray/relay/exchange.py
+++ b/ramptray/relay/exchange.py
@@ -14,21 +14,22 @@
 from ramptray.bundle import model
 from ramptray.core import message as core_message
 from ramptray.core import request
-from ramptray.entry import dispatcher, server_hints
+from ramptray.entry import dispatcher as dispatchers
+from ramptray.entry import server_hints
 from ramptray.entry import ticket as tickets
 from ramptray.relay import backend_probe, event, message, refusal
 from ramptray.relay import client as relay_client
 from ramptray.relay import connection as connections
 
-MAX_HELD_BYTES = 256 * 1024
+MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024
 """Largest answer that is read whole before any of it is passed on, so that a
 failure in its middle may still be followed by another attempt."""
 
-HANG_OBJECTIVES = 2.0
+HANG_OBJECTIVE_FACTOR = 2.0
 """A backend server that has not begun its answer after so many times the
 route's objective is taken to hang: a place was free when the request went."""
 
-HANG_GAPS = 4.0
+HANG_GAP_FACTOR = 4.0
 """A stream that pauses for so many times the route's longest pause is taken to
 hang: engines pause that long only while they read very long prompts."""
 
@@ -36,7 +37,7 @@
 """Shortest pause after which a stream is taken to hang, in seconds: less than
 half of the two seconds after which callers give up."""
 
-BUDGET_LOOK_S = 0.25
+BUDGET_POLL_S = 0.25
 """How often a request that hangs looks whether another attempt is allowed by
 now, in seconds: the budget of further attempts fills up all the time."""
 
@@ -82,7 +83,7 @@
     """What is to be served.
 
     Attributes:
-        asked: The caller's request.
+        request: The caller's request.
         info: Its description for schedulers.
         route: Its route.
         customer: The customer; empty on a public route without a key.
@@ -90,7 +91,7 @@
         tokens_per_event: Tokens that an event of a stream holds.
     """
 
-    asked: message.CallerRequest
+    request: message.CallerRequest
     info: core_message.RequestInfo
     route: model.Route
     customer: str
@@ -111,34 +112,34 @@
 
     def __init__(
         self,
-        order: RoutedRequest,
-        desk: dispatcher.Dispatcher,
+        routed: RoutedRequest,
+        dispatcher: dispatchers.Dispatcher,
         client: relay_client.RelayClient,
         writer: ResponseWriter,
     ) -> None:
         self.outcome = ""
         self.first_event_s: float | None = None
-        self._order = order
-        self._desk = desk
+        self._routed = routed
+        self._dispatcher = dispatcher
         self._client = client
         self._writer = writer
-        self._began = steadyclock.read()
-        self._deadline = self._began + order.timeout_s
-        self._ticket = desk.submit(order.info, None)
-        self._started = False
-        self._own_failure: message.Response | None = None
+        self._started_at = steadyclock.read()
+        self._deadline = self._started_at + routed.timeout_s
+        self._ticket = dispatcher.submit(routed.info, None)
+        self._response_started = False
+        self._error_response: message.Response | None = None
         self._splitter = event.EventSplitter()
         self._sent_at = 0.0
         # Of the present attempt: when its answer began, after how many events.
-        self._begun_at: float | None = None
-        self._events_before = 0
+        self._first_event_at: float | None = None
+        self._events_before_attempt = 0
 
     async def run(self) -> None:
         """Serves the request; cancelling it means that the caller has gone."""
         try:
             async for effect in self._ticket.effects:
                 if isinstance(effect, request.Finish):
-                    await self._end(effect)
+                    await self._finish(effect)
                     return
                 await self._attempt(effect.grant)
         except anyio.get_cancelled_exc_class():
@@ -151,20 +152,20 @@
             self._ticket.report(tickets.Abandoned(self._make_ended(False)))
             raise
 
-    async def _end(self, finish: request.Finish) -> None:
+    async def _finish(self, finish: request.Finish) -> None:
         self.outcome = finish.reason.value if finish.reason else "complete"
         if finish.outcome is core_message.Outcome.COMPLETE:
             return
-        if self._started:
+        if self._response_started:
             await self._writer.abort()
-        elif self._own_failure is not None:
+        elif self._error_response is not None:
             # What the backend server answered says more than a refusal.
-            await self._pass_whole(self._own_failure)
+            await self._send_response(self._error_response)
         else:
             await self._writer.refuse(refusal.make_refusal(finish))
 
     async def _attempt(self, grant: core_message.Grant) -> None:
-        target = self._find_target(grant)
+        target = self._resolve_target(grant)
         if target is None:
             self._ticket.report(tickets.ConnectFailed(self._request_id))
             return
@@ -175,13 +176,13 @@
         # cancellation of a closed connection is delivered here.
         await anyio.lowlevel.checkpoint()
         self._sent_at = steadyclock.read()
-        self._begun_at = None
-        self._events_before = self._splitter.count
+        self._first_event_at = None
+        self._events_before_attempt = self._splitter.count
         try:
             with anyio.fail_after(max(0.0, self._deadline - self._sent_at)):
                 await self._send(target, grant)
         except TimeoutError:
-            self._lose(core_message.Reason.DEADLINE)
+            self._end_unknown(core_message.Reason.DEADLINE)
         except _UnusableServerError as error:
             self._ticket.report(
                 tickets.GrantUnusable(self._request_id, error.reason)
@@ -190,22 +191,22 @@
             failed = tickets.ConnectFailed(self._request_id, error.refused)
             self._ticket.report(failed)
         except connections.BrokenError as error:
-            fault = await self._examine(target, error)
-            self._fail(False, core_message.Reason.BACKEND_LOST, fault)
+            fault = await self._diagnose(target, error)
+            self._report_failure(False, core_message.Reason.BACKEND_LOST, fault)
 
-    async def _examine(
+    async def _diagnose(
         self, target: connections.Target, error: connections.BrokenError
     ) -> tickets.Fault:
         """Finds out what became of a backend server that broke off."""
         after_s = steadyclock.read() - self._sent_at
-        seen = ""
+        presence = ""
         if not isinstance(error, connections.HungError):
-            seen = (await backend_probe.probe_backend(target.address)).value
+            presence = (await backend_probe.probe_backend(target.address)).value
         return tickets.Fault(
             str(error),
-            seen,
+            presence,
             round(after_s, 4),
-            self._splitter.count - self._events_before,
+            self._splitter.count - self._events_before_attempt,
         )
 
     async def _read_head(
@@ -216,59 +217,59 @@
         A backend server that hangs says nothing.  What may run only once has
         to wait for it; anything else is better sent to another one.
         """
-        order = self._order
-        hang_s = None
-        if order.info.repeatable:
-            hang_s = order.route.objective_s * HANG_OBJECTIVES
-        return await self._read_unless_hung(
-            lambda wait_s: connection.read_head(self._request_id, wait_s),
-            hang_s,
+        routed = self._routed
+        hang_timeout_s = None
+        if routed.info.repeatable:
+            hang_timeout_s = routed.route.objective_s * HANG_OBJECTIVE_FACTOR
+        return await self._read_with_hang_timeout(
+            lambda timeout_s: connection.read_head(self._request_id, timeout_s),
+            hang_timeout_s,
         )
 
-    async def _read_unless_hung(
+    async def _read_with_hang_timeout(
         self,
         read: Callable[[float | None], Awaitable[ReadT]],
-        hang_s: float | None,
+        hang_timeout_s: float | None,
     ) -> ReadT:
         """Returns what is read, but leaves a server that hangs.
 
         Args:
             read: Reads within some seconds, or raises TimeoutError; it may be
                 called again.
-            hang_s: After how long the server is taken to hang, in seconds;
-                None for never.
+            hang_timeout_s: After how long the server is taken to hang; None for
+                never.
 
         Raises:
             HungError: It hangs, and another attempt is allowed.
         """
-        while hang_s is not None:
+        while hang_timeout_s is not None:
             try:
-                return await read(hang_s)
+                return await read(hang_timeout_s)
             except TimeoutError as error:
-                if self._desk.may_repeat(self._ticket):
+                if self._dispatcher.may_repeat(self._ticket):
                     raise connections.HungError(str(error)) from error
-            hang_s = BUDGET_LOOK_S
+            hang_timeout_s = BUDGET_POLL_S
         return await read(None)
 
     async def _send(
         self, target: connections.Target, grant: core_message.Grant
     ) -> None:
         """Sends the request to one backend server and passes its answer on."""
-        not_repeatable = not self._order.info.repeatable
+        not_repeatable = not self._routed.info.repeatable
         async with self._client.borrow(target, not_repeatable) as connection:
             # An answer may have said something while it was opened.
             if reason := self._find_unusable_reason(target):
                 raise _UnusableServerError(reason)
             attempt = message.Attempt(
                 target.backend,
-                self._order.customer,
+                self._routed.customer,
                 max(0.0, self._deadline - steadyclock.read()),
-                self._splitter.last_id or self._order.asked.last_event,
+                self._splitter.last_id or self._routed.request.last_event,
             )
-            await connection.send(self._order.asked, attempt)
+            await connection.send(self._routed.request, attempt)
             head = await self._read_head(connection)
             # At once: requests that are under way are checked by what it says.
-            self._desk.server_hints.observe(
+            self._dispatcher.server_hints.observe(
                 server_hints.HeadReceived(
                     self._request_id,
                     target.backend,
@@ -281,52 +282,54 @@
                 ),
                 steadyclock.read(),
             )
-            await self._take_answer(connection, head)
+            await self._handle_response(connection, head)
 
-    async def _take_answer(
+    async def _handle_response(
         self, connection: connections.Connection, head: message.ResponseHead
     ) -> None:
         if head.not_run:
             await connection.read_body()
-            self._fail(True, core_message.Reason.BACKEND_REFUSED)
+            self._report_failure(True, core_message.Reason.BACKEND_REFUSED)
             return
-        is_stream = self._order.route.kind is model.RouteKind.STREAM
+        is_stream = self._routed.route.kind is model.RouteKind.STREAM
         if is_stream and head.status in OK_STATUSES:
-            await self._pass_stream(connection, head)
+            await self._forward_stream(connection, head)
             return
         body = await connection.read_body()
-        answer = message.Response(head, body)
-        if self._started:
-            self._fail(False, core_message.Reason.STREAM_BROKEN)
-        elif head.status >= SERVER_ERROR and self._order.info.repeatable:
-            self._own_failure = answer
-            self._fail(False, core_message.Reason.BACKEND_LOST, failed=True)
+        response = message.Response(head, body)
+        if self._response_started:
+            self._report_failure(False, core_message.Reason.STREAM_BROKEN)
+        elif head.status >= SERVER_ERROR and self._routed.info.repeatable:
+            self._error_response = response
+            self._report_failure(
+                False, core_message.Reason.BACKEND_LOST, failed=True
+            )
         else:
-            self._note_first()
-            await self._pass_whole(answer)
-            self._complete(head.status)
+            self._record_first_event()
+            await self._send_response(response)
+            self._report_complete(head.status)
 
-    async def _pass_whole(self, answer: message.Response) -> None:
-        await self._writer.start(answer.head, len(answer.body))
-        await self._writer.write(answer.body)
+    async def _send_response(self, response: message.Response) -> None:
+        await self._writer.start(response.head, len(response.body))
+        await self._writer.write(response.body)
         await self._writer.finish()
 
-    async def _pass_stream(
+    async def _forward_stream(
         self, connection: connections.Connection, head: message.ResponseHead
     ) -> None:
         """Passes each event on as it comes."""
         while (data := await self._read_part(connection)) is not None:
-            whole = self._splitter.split(data)
-            if not whole:
+            events = self._splitter.split(data)
+            if not events:
                 continue
-            self._note_first()
-            await self._start_once(head)
-            await self._writer.write(whole)
-        await self._start_once(head)
-        if rest := self._splitter.take_remainder():
-            await self._writer.write(rest)
+            self._record_first_event()
+            await self._ensure_started(head)
+            await self._writer.write(events)
+        await self._ensure_started(head)
+        if remainder := self._splitter.take_remainder():
+            await self._writer.write(remainder)
         await self._writer.finish()
-        self._complete(head.status)
+        self._report_complete(head.status)
 
     async def _read_part(
         self, connection: connections.Connection
@@ -336,32 +339,36 @@
         Raises:
             HungError: It hangs, and may go on at another backend server.
         """
-        return await self._read_unless_hung(
-            connection.read_part, self._get_hang_s()
+        return await self._read_with_hang_timeout(
+            connection.read_part, self._get_stream_hang_timeout()
         )
 
-    def _get_hang_s(self) -> float | None:
+    def _get_stream_hang_timeout(self) -> float | None:
         """Returns how long a pause is waited for; None for without end."""
-        order = self._order
-        if not order.info.repeatable:
+        routed = self._routed
+        if not routed.info.repeatable:
             return None
-        gap_s = order.route.max_gap_s
-        return None if gap_s is None else max(MIN_HANG_GAP_S, gap_s * HANG_GAPS)
+        gap_s = routed.route.max_gap_s
+        return (
+            None
+            if gap_s is None
+            else max(MIN_HANG_GAP_S, gap_s * HANG_GAP_FACTOR)
+        )
 
-    async def _start_once(self, head: message.ResponseHead) -> None:
-        if not self._started:
-            self._started = True
+    async def _ensure_started(self, head: message.ResponseHead) -> None:
+        if not self._response_started:
+            self._response_started = True
             await self._writer.start(head, None)
 
     @property
     def _request_id(self) -> str:
-        return self._order.info.request_id
+        return self._routed.info.request_id
 
-    def _find_target(
+    def _resolve_target(
         self, grant: core_message.Grant
     ) -> connections.Target | None:
         """Returns whom a grant sends to, None where that may get no work."""
-        url = self._desk.network.pick_url(grant)
+        url = self._dispatcher.network.pick_url(grant)
         if url is None:
             return None
         address = url.removeprefix("http://")
@@ -371,16 +378,16 @@
         self, target: connections.Target
     ) -> server_hints.UnusableReason | None:
         """Returns why a backend server may be sent nothing, if it may not."""
-        return self._desk.server_hints.find_unusable_reason(
+        return self._dispatcher.server_hints.find_unusable_reason(
             target.backend, target.run, steadyclock.read()
         )
 
-    def _note_first(self) -> None:
-        if self._begun_at is not None:
+    def _record_first_event(self) -> None:
+        if self._first_event_at is not None:
             return
-        now = self._begun_at = steadyclock.read()
+        now = self._first_event_at = steadyclock.read()
         if self.first_event_s is None:
-            self.first_event_s = now - self._began
+            self.first_event_s = now - self._started_at
         first = core_message.FirstToken(
             self._request_id,
             now - self._sent_at,
@@ -389,13 +396,13 @@
         )
         self._ticket.report(tickets.Begun(first))
 
-    def _complete(self, status: int) -> None:
+    def _report_complete(self, status: int) -> None:
         ended = msgspec.structs.replace(
             self._make_ended(True), failed=status >= SERVER_ERROR
         )
         self._ticket.report(tickets.Completed(ended, status))
 
-    def _fail(
+    def _report_failure(
         self,
         not_run: bool,
         reason: core_message.Reason,
@@ -422,21 +429,23 @@
             tickets.AttemptFailed(ended, not_run, reason, fault)
         )
 
-    def _lose(self, reason: core_message.Reason) -> None:
+    def _end_unknown(self, reason: core_message.Reason) -> None:
         ended = self._make_ended(False)
         self._ticket.report(tickets.Lost(ended, reason))
 
-    def _make_ended(self, whole: bool) -> core_message.Ended:
+    def _make_ended(self, complete: bool) -> core_message.Ended:
         decode_s = 0.0
-        if self._begun_at is not None:
-            decode_s = steadyclock.read() - self._begun_at
-        first_tokens = self._order.tokens_per_event
-        tokens = (self._splitter.count - self._events_before) * first_tokens
+        if self._first_event_at is not None:
+            decode_s = steadyclock.read() - self._first_event_at
+        first_tokens = self._routed.tokens_per_event
+        tokens = (
+            self._splitter.count - self._events_before_attempt
+        ) * first_tokens
         return core_message.Ended(
             self._request_id,
             tokens,
             decode_s,
-            whole,
+            complete,
             first_tokens=first_tokens,
         )
 
--- a/ramptray/relay/server.py
+++ b/ramptray/relay/server.py
@@ -21,15 +21,15 @@
 
 LOG = logging.getLogger(__name__)
 
-WRITE_S = 30.0
+WRITE_TIMEOUT_S = 30.0
 """Longest time a caller may leave its answer unread, in seconds."""
 
-BODY_S = 10.0
+BODY_TIMEOUT_S = 10.0
 """Longest time a body may take to arrive, in seconds."""
 
 REQUEST_TIMEOUT = 408
-TOO_LARGE = 413
-HEAD_TOO_LARGE = 431
+CONTENT_TOO_LARGE = 413
+HEADERS_TOO_LARGE = 431
 BAD_REQUEST = 400
 
 STOPPING = refusal.Refusal(refusal.UNAVAILABLE, "stopping", 0.05)
@@ -47,9 +47,9 @@
 class _BadRequestError(Exception):
     """The bytes of a caller are no request that can be served."""
 
-    def __init__(self, mistake: message.InvalidRequest) -> None:
-        self.mistake = mistake
-        super().__init__(mistake.text)
+    def __init__(self, invalid: message.InvalidRequest) -> None:
+        self.invalid = invalid
+        super().__init__(invalid.text)
 
 
 class ServerState(msgspec.Struct):
@@ -130,7 +130,7 @@
         self._serve = serve
         self._state = state
         self._http = h11.Connection(h11.SERVER, state.limits.header_bytes)
-        self._cut = False
+        self._aborted = False
 
     async def run(self) -> None:
         """Serves requests until either side closes."""
@@ -141,41 +141,41 @@
     async def _serve_one(self) -> bool:
         """Serves one request; returns whether another one may follow."""
         try:
-            asked = await self._read_request()
+            request = await self._read_request()
         except _BadRequestError as error:
-            await self._answer_mistake(error.mistake)
+            await self._refuse_invalid_request(error.invalid)
             return False
-        if asked is None:
+        if request is None:
             return False
         if self._state.refusing:
-            await CallerResponseWriter(self, asked).refuse(STOPPING)
+            await CallerResponseWriter(self, request).refuse(STOPPING)
             return False
         self._state.active += 1
         try:
-            await self._serve_watched(asked)
+            await self._serve_until_disconnect(request)
         finally:
             self._state.active -= 1
         http = self._http
         clean = http.our_state is h11.DONE and http.their_state is h11.DONE
-        return clean and not self._cut
+        return clean and not self._aborted
 
-    async def _serve_watched(self, asked: message.CallerRequest) -> None:
+    async def _serve_until_disconnect(
+        self, request: message.CallerRequest
+    ) -> None:
         """Serves a request and gives up as soon as the caller has gone."""
-        writer = CallerResponseWriter(self, asked)
+        writer = CallerResponseWriter(self, request)
         with anyio.CancelScope() as scope:
             self._stream.on_end = scope.cancel
             try:
                 if self._stream.has_ended:
                     scope.cancel()
                 with contextlib.suppress(CallerDisconnectedError):
-                    await self._serve(asked, writer)
+                    await self._serve(request, writer)
             finally:
                 self._stream.on_end = None
         if scope.cancelled_caught:
             raise CallerDisconnectedError
 
-    # Reading.
-
     async def _read_request(self) -> message.CallerRequest | None:
         """Returns the next request, or None where there is none."""
         event = await self._read_head()
@@ -184,16 +184,18 @@
         head = message.RequestHead(
             event.method, event.target, list(event.headers.raw_items())
         )
-        if _measure(head) > self._state.limits.header_bytes:
-            mistake = message.InvalidRequest(HEAD_TOO_LARGE, "head too large")
-            raise _BadRequestError(mistake)
+        if _compute_head_size(head) > self._state.limits.header_bytes:
+            invalid = message.InvalidRequest(
+                HEADERS_TOO_LARGE, "head too large"
+            )
+            raise _BadRequestError(invalid)
         match self._dialect.parse_request(head):
-            case Err(mistake):
-                raise _BadRequestError(mistake)
-            case Ok(asked):
+            case Err(invalid):
+                raise _BadRequestError(invalid)
+            case Ok(request):
                 pass
         body = await self._read_body()
-        return msgspec.structs.replace(asked, body=body)
+        return msgspec.structs.replace(request, body=body)
 
     async def _read_head(self) -> h11.Request | None:
         limits = self._state.limits
@@ -209,10 +211,10 @@
             with anyio.fail_after(limits.header_s):
                 return await self._next_request()
         except TimeoutError as error:
-            mistake = message.InvalidRequest(
+            invalid = message.InvalidRequest(
                 REQUEST_TIMEOUT, "head took too long"
             )
-            raise _BadRequestError(mistake) from error
+            raise _BadRequestError(invalid) from error
 
     async def _wait_for_request(self, idle_s: float) -> bool:
         """Returns whether the first bytes of a request have arrived."""
@@ -240,27 +242,27 @@
     async def _read_body(self) -> bytes:
         parts: list[bytes] = []
         size = 0
-        ends_at = steadyclock.read() + BODY_S
+        deadline = steadyclock.read() + BODY_TIMEOUT_S
         if self._http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            await self.send(self._http.send(go_on) or b"")
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            await self.send(self._http.send(interim) or b"")
         try:
-            async for data in self._iterate_body(ends_at):
+            async for data in self._iterate_body(deadline):
                 size += len(data)
                 if size > self._state.limits.body_bytes:
-                    mistake = message.InvalidRequest(
-                        TOO_LARGE, "body too large"
+                    invalid = message.InvalidRequest(
+                        CONTENT_TOO_LARGE, "body too large"
                     )
-                    raise _BadRequestError(mistake)
+                    raise _BadRequestError(invalid)
                 parts.append(data)
         except TimeoutError as error:
-            mistake = message.InvalidRequest(
+            invalid = message.InvalidRequest(
                 REQUEST_TIMEOUT, "body took too long"
             )
-            raise _BadRequestError(mistake) from error
+            raise _BadRequestError(invalid) from error
         return b"".join(parts)
 
-    async def _iterate_body(self, ends_at: float) -> AsyncIterator[bytes]:
+    async def _iterate_body(self, deadline: float) -> AsyncIterator[bytes]:
         """Yields the body's parts.
 
         Raises:
@@ -273,7 +275,7 @@
             elif isinstance(event, h11.EndOfMessage):
                 return
             elif event is h11.NEED_DATA:
-                left_s = max(0.0, ends_at - steadyclock.read())
+                left_s = max(0.0, deadline - steadyclock.read())
                 if not await self._receive(left_s):
                     raise CallerDisconnectedError
             else:
@@ -284,19 +286,19 @@
             return self._http.next_event()
         except h11.RemoteProtocolError as error:
             status = error.error_status_hint
-            if status not in (BAD_REQUEST, HEAD_TOO_LARGE):
+            if status not in (BAD_REQUEST, HEADERS_TOO_LARGE):
                 status = BAD_REQUEST
-            mistake = message.InvalidRequest(status, str(error))
-            raise _BadRequestError(mistake) from error
+            invalid = message.InvalidRequest(status, str(error))
+            raise _BadRequestError(invalid) from error
 
-    async def _receive(self, wait_s: float | None = None) -> bool:
+    async def _receive(self, timeout_s: float | None = None) -> bool:
         """Reads some bytes; returns False at the end of the connection.
 
         Raises:
             TimeoutError: Nothing came in time.
         """
         try:
-            data = await self._stream.receive(wait_s)
+            data = await self._stream.receive(timeout_s)
         except anyio.EndOfStream:
             data = b""
         except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
@@ -307,8 +309,6 @@
             raise CallerDisconnectedError from error
         return bool(data)
 
-    # Writing.
-
     async def send(self, data: bytes) -> None:
         """Writes bytes to the caller.
 
@@ -316,13 +316,13 @@
             CallerDisconnectedError: It has gone, or it does not read.
         """
         try:
-            await self._stream.send(data, WRITE_S)
+            await self._stream.send(data, WRITE_TIMEOUT_S)
         except (
             TimeoutError,
             anyio.BrokenResourceError,
             anyio.ClosedResourceError,
         ) as error:
-            self._cut = True
+            self._aborted = True
             raise CallerDisconnectedError from error
 
     async def send_event(self, event: Any) -> None:
@@ -334,14 +334,14 @@
         try:
             data = self._http.send(event)
         except h11.LocalProtocolError as error:
-            self._cut = True
+            self._aborted = True
             raise CallerDisconnectedError from error
         if data:
             await self.send(data)
 
-    async def cut(self) -> None:
+    async def abort(self) -> None:
         """Closes the connection in the middle of an answer."""
-        self._cut = True
+        self._aborted = True
         self._stream.close()
 
     def get_closing_headers(self) -> message.Headers:
@@ -350,16 +350,18 @@
             return [(b"Connection", b"close")]
         return []
 
-    async def _answer_mistake(self, mistake: message.InvalidRequest) -> None:
+    async def _refuse_invalid_request(
+        self, invalid: message.InvalidRequest
+    ) -> None:
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         LOG.info(
             "request refused as it is",
-            extra={"status": mistake.status, "detail": mistake.text},
+            extra={"status": invalid.status, "detail": invalid.text},
         )
         headers = self._dialect.make_refusal_headers("", 0.0)
         headers.append((b"Connection", b"close"))
-        refused = refusal.Refusal(mistake.status, mistake.text)
+        refused = refusal.Refusal(invalid.status, invalid.text)
         await send_refusal(self, refused, headers)
 
 
@@ -367,10 +369,10 @@
     """The way back to a caller on its connection."""
 
     def __init__(
-        self, connection: CallerConnection, asked: message.CallerRequest
+        self, connection: CallerConnection, request: message.CallerRequest
     ) -> None:
         self._connection = connection
-        self._asked = asked
+        self._request = request
 
     async def start(
         self, head: message.ResponseHead, length: int | None
@@ -397,17 +399,17 @@
         """See the base class."""
         dialect = self._connection._dialect
         headers = dialect.make_refusal_headers(
-            self._asked.request_id, refused.retry_after_s
+            self._request.request_id, refused.retry_after_s
         )
         headers.extend(self._connection.get_closing_headers())
         await send_refusal(self._connection, refused, headers)
 
     async def abort(self) -> None:
         """See the base class."""
-        await self._connection.cut()
+        await self._connection.abort()
 
 
-def _measure(head: message.RequestHead) -> int:
+def _compute_head_size(head: message.RequestHead) -> int:
     """Returns the size of a head in bytes, as good as it arrived."""
     fields = sum(len(name) + len(value) + 4 for name, value in head.headers)
     return len(head.method) + len(head.target) + fields
--- a/ramptray/relay/service.py
+++ b/ramptray/relay/service.py
@@ -7,9 +7,9 @@
 from ramptray import steadyclock
 from ramptray import timeline as timelines
 from ramptray.bundle import acceptance, model
-from ramptray.caller import metrics
+from ramptray.caller import metrics as caller_metrics
 from ramptray.core import message as core_message
-from ramptray.entry import dispatcher
+from ramptray.entry import dispatcher as dispatchers
 from ramptray.relay import client as relay_client
 from ramptray.relay import content, exchange, message, refusal, routing
 
@@ -22,7 +22,7 @@
 """Part of a caller's patience that its request may wait before it is refused: a
 refusal after more than half of it leaves no time to come back."""
 
-IN_FORCE_WAIT_S = 0.3
+CONFIG_WAIT_S = 0.3
 """How long a request waits for the first configuration of a VM that has just
 started, in seconds: the store's newest records arrive within some 20 ms, and
 within about 0.25 s while it is slow.  Longer would be most of an objective."""
@@ -37,154 +37,163 @@
 
     Args:
         zone: The zone whose schedulers are asked.
-        desk: The dispatcher.
+        dispatcher: The dispatcher.
         client: Connections to backend servers.
-        measures: Counters and histograms.
-        events: The time line.
+        metrics: Counters and histograms.
+        timeline: The time line.
         content_key: Secret that goes into the digests of contents.
     """
 
     def __init__(
         self,
         zone: str,
-        desk: dispatcher.Dispatcher,
+        dispatcher: dispatchers.Dispatcher,
         client: relay_client.RelayClient,
-        measures: metrics.Metrics,
-        events: timelines.Timeline,
+        metrics: caller_metrics.Metrics,
+        timeline: timelines.Timeline,
         content_key: bytes = b"",
     ) -> None:
         self._content_key = content_key
         self._zone = zone
-        self._desk = desk
+        self._dispatcher = dispatcher
         self._client = client
-        self._metrics = measures
-        self._timeline = events
-        self._table = routing.RouteTable({})
-        self._of: acceptance.InForce | None = None
+        self._metrics = metrics
+        self._timeline = timeline
+        self._routes = routing.RouteTable({})
+        self._in_force: acceptance.InForce | None = None
 
     async def serve(
-        self, asked: message.CallerRequest, writer: exchange.ResponseWriter
+        self, request: message.CallerRequest, writer: exchange.ResponseWriter
     ) -> None:
         """Serves one request to the end of its answer."""
-        in_force = await self._desk.network.wait_in_force(IN_FORCE_WAIT_S)
+        in_force = await self._dispatcher.network.wait_in_force(CONFIG_WAIT_S)
         if in_force is None:
             await self._refuse(
-                asked,
+                request,
                 writer,
                 refusal.Refusal(
                     refusal.UNAVAILABLE, "not_ready", NOT_READY_RETRY_S
                 ),
             )
             return
-        order = self._make_order(asked, in_force)
-        if isinstance(order, refusal.Refusal):
-            await self._refuse(asked, writer, order)
+        routed = self._route(request, in_force)
+        if isinstance(routed, refusal.Refusal):
+            await self._refuse(request, writer, routed)
             return
-        await self._exchange(order, writer)
+        await self._run_exchange(routed, writer)
 
-    async def _exchange(
-        self, order: exchange.RoutedRequest, writer: exchange.ResponseWriter
+    async def _run_exchange(
+        self, routed: exchange.RoutedRequest, writer: exchange.ResponseWriter
     ) -> None:
-        served = exchange.Exchange(order, self._desk, self._client, writer)
-        began = steadyclock.read()
-        tier = order.info.tier
+        active = exchange.Exchange(
+            routed, self._dispatcher, self._client, writer
+        )
+        started_at = steadyclock.read()
+        tier = routed.info.tier
         try:
-            await served.run()
+            await active.run()
         finally:
             self._metrics.count_end(
-                tier, served.outcome, order.route.kind.value
+                tier, active.outcome, routed.route.kind.value
+            )
+            self._metrics.record(
+                "answer", tier, steadyclock.read() - started_at
             )
-            self._metrics.record("answer", tier, steadyclock.read() - began)
-            if served.first_event_s is not None:
-                self._metrics.record("first_event", tier, served.first_event_s)
+            if active.first_event_s is not None:
+                self._metrics.record("first_event", tier, active.first_event_s)
 
     async def _refuse(
         self,
-        asked: message.CallerRequest,
+        request: message.CallerRequest,
         writer: exchange.ResponseWriter,
         refused: refusal.Refusal,
     ) -> None:
-        generation = self._of.generation if self._of else None
+        generation = self._in_force.generation if self._in_force else None
         self._timeline.note(
             "refused",
-            asked.request_id,
+            request.request_id,
             status=refused.status,
             reason=refused.text,
-            host=asked.host,
+            host=request.host,
             generation=generation,
         )
         self._metrics.count_end("", "refused", refused.text)
         await writer.refuse(refused)
 
-    def _make_order(
-        self, asked: message.CallerRequest, in_force: acceptance.InForce
+    def _route(
+        self, request: message.CallerRequest, in_force: acceptance.InForce
     ) -> exchange.RoutedRequest | refusal.Refusal:
         """Returns what to serve, or why it is not served."""
         bundle = in_force.bundle
-        if self._of is None or self._of.bundle.routes is not bundle.routes:
+        if (
+            self._in_force is None
+            or self._in_force.bundle.routes is not bundle.routes
+        ):
             # Most bundles differ in their backend servers only.
-            self._table = routing.RouteTable(bundle.routes)
-        self._of = in_force
-        route = self._table.find(asked.host, asked.target)
+            self._routes = routing.RouteTable(bundle.routes)
+        self._in_force = in_force
+        route = self._routes.find(request.host, request.target)
         if route is None:
             return refusal.Refusal(NOT_FOUND, "no_route")
         customer = ""
         if bundle.customers and not route.public:
-            found = bundle.get_customer_by_key(asked.key or "")
+            found = bundle.get_customer_by_key(request.key or "")
             if found is None:
                 return refusal.Refusal(UNAUTHORIZED, "unknown_key")
             customer = found
-        service = routing.pick_service(route, asked.request_id)
+        service = routing.pick_service(route, request.request_id)
         if service not in bundle.services:
             return refusal.Refusal(
                 refusal.UNAVAILABLE, "no_service", NOT_READY_RETRY_S
             )
-        return self._describe(asked, bundle, route, customer, service)
+        return self._build_routed_request(
+            request, bundle, route, customer, service
+        )
 
-    def _describe(
+    def _build_routed_request(
         self,
-        asked: message.CallerRequest,
+        request: message.CallerRequest,
         bundle: model.Bundle,
         route: model.Route,
         customer: str,
         service: str,
     ) -> exchange.RoutedRequest:
         timeout_s = route.timeout_s
-        if asked.deadline_s is not None:
-            timeout_s = min(timeout_s, asked.deadline_s)
+        if request.deadline_s is not None:
+            timeout_s = min(timeout_s, request.deadline_s)
         declared = bundle.customers.get(customer)
         tier = _pick_tier(declared, route)
         patience_s = min(route.patience_s or timeout_s, timeout_s)
-        prompt = asked.prompt_tokens
+        prompt = request.prompt_tokens
         if prompt is None:
             prompt = model.UNSIZED_TOKENS
         engine = bundle.engines.get(service)
         event_tokens = engine.tokens_per_event if engine else 1
         info = core_message.RequestInfo(
-            request_id=asked.request_id,
+            request_id=request.request_id,
             shard=core_message.ShardKey(self._zone, service),
             customer=customer,
             tier=tier,
             prompt_tokens=prompt,
-            output_tokens=asked.likely_tokens or asked.output_tokens,
-            prefix=asked.prefix,
-            prefix_tokens=asked.prefix_tokens,
+            output_tokens=request.likely_tokens or request.output_tokens,
+            prefix=request.prefix,
+            prefix_tokens=request.prefix_tokens,
             route=route.path_prefix,
             deadline_s=timeout_s,
-            limit_tokens=_count_tokens(asked, declared),
+            limit_tokens=_count_tokens(request, declared),
             repeatable=_is_repeatable(route),
             max_attempts=route.max_attempts,
             objective_s=route.objective_s,
             wait_s=patience_s * MAX_WAIT_FRACTION,
             max_gap_s=route.max_gap_s,
             event_tokens=event_tokens,
-            content=content.make_digest(asked, customer, self._content_key),
+            content=content.make_digest(request, customer, self._content_key),
             regions=_intersect(
                 route.regions, declared.regions if declared else None
             ),
         )
         return exchange.RoutedRequest(
-            asked, info, route, customer, timeout_s, event_tokens
+            request, info, route, customer, timeout_s, event_tokens
         )
 
 
@@ -205,11 +214,11 @@
 
 
 def _count_tokens(
-    asked: message.CallerRequest, customer: model.Customer | None
+    request: message.CallerRequest, customer: model.Customer | None
 ) -> int:
     """Returns what a request counts against its customer's limit."""
-    if asked.prompt_tokens is not None:
-        return asked.prompt_tokens + asked.output_tokens
+    if request.prompt_tokens is not None:
+        return request.prompt_tokens + request.output_tokens
     if customer is None:
         return model.UNSIZED_TOKENS
     return customer.limits.unsized_tokens
--- a/ramptray/relay/socket_stream.py
+++ b/ramptray/relay/socket_stream.py
@@ -26,7 +26,7 @@
 connection counts as dead: two or three retransmissions.  A cut says nothing of
 itself."""
 
-KEEP_ALIVE_S = 1
+KEEPALIVE_INTERVAL_S = 1
 """Silence after which the kernel asks whether the other end is still there, in
 seconds, the least that it can: a connection that fell silent while it was idle,
 or while an answer was awaited, is seen after twice that instead of never."""
@@ -52,11 +52,11 @@
         self._error: Exception | None = None
         self._closed = False
         self._writing_paused = False
-        self._reader: asyncio.Future[None] | None = None
-        self._writer: asyncio.Future[None] | None = None
+        self._read_waiter: asyncio.Future[None] | None = None
+        self._write_waiter: asyncio.Future[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._due = math.inf
-        self._timer_at = math.inf
+        self._deadline = math.inf
+        self._timer_fires_at = math.inf
 
     # Called by the event loop.
 
@@ -73,19 +73,19 @@
         if self._unread_bytes > MAX_UNREAD_BYTES and not self._reading_paused:
             self._reading_paused = True
             self._get_transport().pause_reading()
-        _wake(self._reader)
+        _wake(self._read_waiter)
 
     def eof_received(self) -> bool:
         """Notes that the peer sends nothing more; it may still read."""
-        self._end()
+        self._set_ended()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Notes the end of the connection."""
         self._lost = True
         self._error = exc
-        self._end()
-        _wake(self._writer)
+        self._set_ended()
+        _wake(self._write_waiter)
         if self._timer is not None:
             self._timer.cancel()
 
@@ -96,9 +96,7 @@
     def resume_writing(self) -> None:
         """Notes that it has taken all of it."""
         self._writing_paused = False
-        _wake(self._writer)
-
-    # Called by the relay.
+        _wake(self._write_waiter)
 
     @property
     def is_open_and_empty(self) -> bool:
@@ -117,11 +115,11 @@
         )
         return found
 
-    async def receive(self, wait_s: float | None = None) -> bytes:
+    async def receive(self, timeout_s: float | None = None) -> bytes:
         """Returns what has arrived, waiting for the first of it.
 
         Args:
-            wait_s: Longest time to wait, in seconds; None for without end.
+            timeout_s: Longest time to wait, in seconds; None for without end.
 
         Raises:
             EndOfStream: The peer sends nothing more.
@@ -133,7 +131,7 @@
             self._check_open()
             if self._ended:
                 raise anyio.EndOfStream
-            await self._wait_readable(wait_s)
+            await self._wait_readable(timeout_s)
         data = b"".join(self._unread)
         self._unread.clear()
         self._unread_bytes = 0
@@ -142,12 +140,12 @@
             self._get_transport().resume_reading()
         return data
 
-    async def send(self, data: bytes, wait_s: float) -> None:
+    async def send(self, data: bytes, timeout_s: float) -> None:
         """Writes bytes, and waits until the kernel has taken them.
 
         Args:
             data: The bytes.
-            wait_s: Longest time to wait for the peer to read, in seconds.
+            timeout_s: Longest time to wait for the peer to read, in seconds.
 
         Raises:
             BrokenResourceError: The connection is lost.
@@ -160,11 +158,11 @@
         self._get_transport().write(data)
         if not self._writing_paused:
             return
-        with anyio.fail_after(wait_s):
+        with anyio.fail_after(timeout_s):
             while self._writing_paused:
                 self._check_open()
-                self._writer = self._loop.create_future()
-                await self._writer
+                self._write_waiter = self._loop.create_future()
+                await self._write_waiter
         self._check_open()
 
     def close(self) -> None:
@@ -172,8 +170,8 @@
         if not self._closed:
             self._closed = True
             self._get_transport().abort()
-            _wake(self._reader)
-            _wake(self._writer)
+            _wake(self._read_waiter)
+            _wake(self._write_waiter)
 
     def flush_and_close(self) -> None:
         """Closes the connection; what was written still goes out.
@@ -196,52 +194,52 @@
         if self._lost and self._error is not None:
             raise anyio.BrokenResourceError from self._error
 
-    def _end(self) -> None:
+    def _set_ended(self) -> None:
         if self._ended:
             return
         self._ended = True
-        _wake(self._reader)
+        _wake(self._read_waiter)
         if self.on_end is not None:
             self.on_end()
 
-    async def _wait_readable(self, wait_s: float | None) -> None:
-        self._reader = self._loop.create_future()
-        self._due = math.inf
-        if wait_s is not None:
-            self._set_timer(steadyclock.read() + wait_s)
+    async def _wait_readable(self, timeout_s: float | None) -> None:
+        self._read_waiter = self._loop.create_future()
+        self._deadline = math.inf
+        if timeout_s is not None:
+            self._set_timer(steadyclock.read() + timeout_s)
         try:
-            await self._reader
+            await self._read_waiter
         finally:
-            self._reader = None
+            self._read_waiter = None
 
-    def _set_timer(self, due: float) -> None:
+    def _set_timer(self, deadline: float) -> None:
         """Has the reader given up at a time, at the cost of few timers."""
-        self._due = due
+        self._deadline = deadline
         if self._timer is not None:
-            if self._timer_at <= due:
+            if self._timer_fires_at <= deadline:
                 return
             self._timer.cancel()
         self._start_timer()
 
     def _start_timer(self) -> None:
-        self._timer_at = self._due
-        left_s = max(0.0, self._due - steadyclock.read())
-        self._timer = self._loop.call_later(left_s, self._give_up)
+        self._timer_fires_at = self._deadline
+        left_s = max(0.0, self._deadline - steadyclock.read())
+        self._timer = self._loop.call_later(left_s, self._on_timer)
 
-    def _give_up(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        reader = self._reader
-        if reader is None or reader.done() or self._due == math.inf:
+        waiter = self._read_waiter
+        if waiter is None or waiter.done() or self._deadline == math.inf:
             return
-        if steadyclock.read() < self._due:
+        if steadyclock.read() < self._deadline:
             self._start_timer()
             return
-        reader.set_exception(TimeoutError("nothing came in time"))
+        waiter.set_exception(TimeoutError("nothing came in time"))
 
 
-def _wake(waiting: asyncio.Future[None] | None) -> None:
-    if waiting is not None and not waiting.done():
-        waiting.set_result(None)
+def _wake(waiter: asyncio.Future[None] | None) -> None:
+    if waiter is not None and not waiter.done():
+        waiter.set_result(None)
 
 
 async def connect(host: str, port: int) -> SocketStream:
@@ -263,8 +261,8 @@
         OSError: It could not be taken.
     """
     loop = asyncio.get_running_loop()
-    taken, _ = await loop.sock_accept(listening)
-    _, opened = await loop.connect_accepted_socket(SocketStream, taken)
+    sock, _ = await loop.sock_accept(listening)
+    _, opened = await loop.connect_accepted_socket(SocketStream, sock)
     return opened
 
 
@@ -274,14 +272,14 @@
     Raises:
         OSError: It has ended already.
     """
-    raw = stream.get_socket()
-    if raw is None:
+    sock = stream.get_socket()
+    if sock is None:
         raise OSError("the connection has ended")
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_NODELAY, 1),
         (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
-        (socket.TCP_KEEPIDLE, KEEP_ALIVE_S),
-        (socket.TCP_KEEPINTVL, KEEP_ALIVE_S),
+        (socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
     ):
-        raw.setsockopt(socket.IPPROTO_TCP, option, value)
+        sock.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -90,7 +90,7 @@
     assert repeatable or may_have_run <= 1
 
 
-def test_a_refusal_after_a_run_does_not_say_not_run() -> None:
+def test_a_rejection_after_a_run_is_not_reported_as_not_run() -> None:
     machine = request.RequestMachine(
         make_info(repeatable=True, max_attempts=3), False
     )
@@ -103,7 +103,7 @@
     assert finish.outcome is message.Outcome.UNKNOWN
 
 
-def test_late_requests_go_behind_those_in_time() -> None:
+def test_late_requests_are_queued_behind_those_in_time() -> None:
     waiting = queue.ShardQueue({"t": 0})
     late = waiting.make(make_info(request_id="a", objective_s=1.0), "e", 0.0)
     fresh = waiting.make(make_info(request_id="b", objective_s=9.0), "e", 0.0)
@@ -117,7 +117,7 @@
     assert [w.request.request_id for w in order] == ["b", "a"]
 
 
-def test_a_request_is_refused_when_it_has_waited_long_enough() -> None:
+def test_a_request_expires_at_its_maximum_wait() -> None:
     waiting = queue.ShardQueue({"t": 0})
     held = waiting.make(make_info(wait_s=1.0), "e", 0.0)
     waiting.push(held)
@@ -151,7 +151,7 @@
     return next(s for s in shards if made.find(s, 0.0) == OWNER)
 
 
-def test_the_local_scheduler_stands_in_for_a_silent_owner() -> None:
+def test_the_local_scheduler_replaces_a_silent_owner() -> None:
     made = make_owners()
     shard = find_foreign_shard(made)
     assert made.doubt(OWNER, 10.0)
@@ -164,7 +164,7 @@
     assert made.find(shard, 12.2) == OWNER
 
 
-def test_one_of_the_same_zone_stands_in_for_a_silent_owner() -> None:
+def test_vms_of_a_zone_agree_on_the_replacement_of_a_silent_owner() -> None:
     # 89 VMs that each stand in for themselves fill the same engines.
     shard = message.ShardKey("all", "lm")
     zones = {f"vm{n}": "a" if n < 4 else "b" for n in range(8)}
@@ -182,15 +182,15 @@
     for one in made:
         assert one.find(shard, 10.0) == owner
         one.doubt(owner, 10.0)
-    (stand_in,) = {one.find(shard, 10.1) for one in made} - {owner}
-    assert stand_in in {"vm1:1", "vm3:1"}
+    (replacement,) = {one.find(shard, 10.1) for one in made} - {owner}
+    assert replacement in {"vm1:1", "vm3:1"}
 
 
-def test_the_local_scheduler_is_never_doubted() -> None:
+def test_the_local_scheduler_is_never_suspected() -> None:
     assert not make_owners().doubt(LOCAL, 1.0)
 
 
-def test_a_silent_server_makes_its_zone_doubtful_for_a_moment() -> None:
+def test_a_silent_server_makes_its_zone_suspect_temporarily() -> None:
     known = reach.Reach()
     zones = {"a1": "a", "a2": "a", "b1": "b"}
     known.note_silent("a1", "a", 10.0)
@@ -202,7 +202,7 @@
     assert known.list_avoided(zones, 20.0) == ()
 
 
-def test_a_customer_s_large_requests_get_through_like_small_ones() -> None:
+def test_requests_larger_than_the_bucket_are_admitted() -> None:
     limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 100.0)})
     assert limits.try_acquire("c", 90, 0.0) == 0
     assert limits.try_acquire("c", 500, 0.0) == 0
@@ -210,14 +210,14 @@
     assert limits.try_acquire("c", 1, 5.2) == 0
 
 
-def test_a_change_of_limits_does_not_fill_buckets() -> None:
+def test_a_change_of_limits_does_not_refill_buckets() -> None:
     limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 1000.0)})
     assert limits.try_acquire("c", 1000, 0.0) == 0
     limits.set_rates({"c": limit.RateLimit(None, 110.0, 1000.0)})
     assert limits.try_acquire("c", 10, 0.0) > 0
 
 
-def test_one_side_of_a_cut_hands_out_its_part() -> None:
+def test_one_side_of_a_partition_admits_its_share_of_a_limit() -> None:
     limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 100.0)})
     assert limits.try_acquire("c", 1, 0.0) == 0
     limits.set_part(0.5)
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 3, 7, 1000])
-def test_events_are_passed_on_whole(step: int) -> None:
+def test_only_complete_events_are_forwarded(step: int) -> None:
     text = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c"
     splitter = event.EventSplitter()
     whole = b"".join(
@@ -257,9 +257,9 @@
         self.closed = True
 
 
-def test_a_connection_is_never_lent_twice() -> None:
+def test_a_connection_is_never_borrowed_twice() -> None:
     async def run() -> None:
-        kept = client.RelayClient(header.PlatformDialect())
+        pool = client.RelayClient(header.PlatformDialect())
         now = anyio.current_time()
         idle = [
             FakeIdleConnection(now - 60),
@@ -267,18 +267,20 @@
             FakeIdleConnection(now),
             FakeIdleConnection(now - 60),
         ]
-        kept._idle["x:1"] = idle  # type: ignore[assignment]
-        lent: list[object] = []
+        pool._idle["x:1"] = idle  # type: ignore[assignment]
+        borrowed: list[object] = []
 
         async def take() -> None:
-            lent.append(await kept._checkout(connection.Target("x:1"), False))
+            borrowed.append(
+                await pool._checkout(connection.Target("x:1"), False)
+            )
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(take)
-            tasks.start_soon(kept.close_idle, now)
+            tasks.start_soon(pool.close_expired, now)
             tasks.start_soon(take)
-        assert len(set(map(id, lent))) == 2
-        assert not any(c.closed for c in lent)  # type: ignore[attr-defined]
+        assert len(set(map(id, borrowed))) == 2
+        assert not any(c.closed for c in borrowed)  # type: ignore[attr-defined]
 
     anyio.run(run)
 
@@ -317,26 +319,26 @@
     assert not known.list_silent_zones()
 
 
-def test_a_connection_from_before_a_cut_is_not_lent() -> None:
+def test_a_connection_from_before_a_network_cut_is_not_reused() -> None:
     async def run() -> None:
-        kept = client.RelayClient(header.PlatformDialect())
+        pool = client.RelayClient(header.PlatformDialect())
         old, other = (
             FakeIdleConnection(anyio.current_time()),
             FakeIdleConnection(anyio.current_time()),
         )
-        kept._idle["127.0.0.1:1"] = [old]  # type: ignore[list-item]
-        kept._idle["y:1"] = [other]  # type: ignore[list-item]
-        kept.expire_idle(["127.0.0.1:1"])
-        lent: object = await kept._checkout(connection.Target("y:1"), False)
-        assert lent is other
+        pool._idle["127.0.0.1:1"] = [old]  # type: ignore[list-item]
+        pool._idle["y:1"] = [other]  # type: ignore[list-item]
+        pool.expire_idle(["127.0.0.1:1"])
+        borrowed: object = await pool._checkout(connection.Target("y:1"), False)
+        assert borrowed is other
         with pytest.raises(connection.NotSentError):
-            await kept._checkout(connection.Target("127.0.0.1:1"), False)
+            await pool._checkout(connection.Target("127.0.0.1:1"), False)
         assert old.closed
 
     anyio.run(run)
 
 
-def test_refused_requests_are_told_to_come_back_one_after_the_other() -> None:
+def test_retry_times_of_refused_requests_are_staggered() -> None:
     limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 100.0)})
     assert limits.try_acquire("c", 100, 0.0) == 0
     first, second = (limits.try_acquire("c", 150, 0.0) for _ in range(2))
--- a/test/test_gone.py
+++ b/test/test_gone.py
@@ -11,10 +11,10 @@
 
 from test import node, test_node
 
-LEFT_S = 0.5
+SETTLE_S = 0.5
 """How long after callers have left their requests may still arrive, seconds."""
 
-FEW = 3
+MAX_LATE_REQUESTS = 3
 """Requests that may cross their callers' leaving."""
 
 
@@ -39,7 +39,7 @@
     return opened
 
 
-def test_a_caller_that_left_while_its_vm_stood_still_is_not_served(
+def test_a_caller_that_disconnected_while_its_vm_was_suspended_is_not_served(
     platform: node.Platform,
 ) -> None:
     vm = platform.processes["vm-0"]
@@ -48,18 +48,18 @@
     try:
         for name in names:
             send(platform, name, "/safe/").close()
-        time.sleep(LEFT_S)
+        time.sleep(SETTLE_S)
     finally:
         vm.send_signal(signal.SIGCONT)
     test_node.wait_until(
         lambda: test_node.ask(platform, "/safe/").status == 200
     )
-    time.sleep(LEFT_S)
+    time.sleep(SETTLE_S)
     late = set(names) & set(platform.list_runs())
-    assert len(late) <= FEW, sorted(late)
+    assert len(late) <= MAX_LATE_REQUESTS, sorted(late)
 
 
-def test_a_caller_that_left_while_it_waited_is_not_served(
+def test_a_caller_that_disconnected_while_queued_is_not_served(
     platform: node.Platform,
 ) -> None:
     platform.set_faults("i-0", work_s=1.0)
@@ -68,23 +68,25 @@
         opened = [send(platform, name, "/safe/") for name in sorted(names)]
         time.sleep(0.3)
         ran = names & set(platform.list_runs())
-        left_us = {}
+        disconnected_us = {}
         for name, connection in zip(sorted(names), opened, strict=True):
-            left_us[name] = time.time_ns() // 1000
+            disconnected_us[name] = time.time_ns() // 1000
             connection.close()
-        time.sleep(LEFT_S + 1.5)
+        time.sleep(SETTLE_S + 1.5)
     finally:
         platform.set_faults("i-0")
     assert 1 <= len(ran) < len(names)
     # They leave one after the other: whoever got the place of one that had left
     # was still there.
     late = (names & set(platform.list_runs())) - ran
-    sent_us = read_dispatches(platform)
-    assert [name for name in late if sent_us[name] >= left_us[name]] == []
-    assert len(late) <= FEW
+    sent_us = read_dispatch_times(platform)
+    assert [
+        name for name in late if sent_us[name] >= disconnected_us[name]
+    ] == []
+    assert len(late) <= MAX_LATE_REQUESTS
 
 
-def read_dispatches(platform: node.Platform) -> dict[str, int]:
+def read_dispatch_times(platform: node.Platform) -> dict[str, int]:
     """Returns when requests were dispatched, in Unix microseconds."""
     events = (line.get("event") or {} for line in platform.read_log("vm-0"))
     return {
--- a/test/test_hang.py
+++ b/test/test_hang.py
@@ -18,7 +18,7 @@
 WINDOW_S = 2.0
 """Window of the budget of further attempts, in seconds."""
 
-SOON_S = 3.6
+MAX_STREAM_S = 3.6
 """Time in which a stream that hangs must end, in seconds: less than the four
 seconds that its route allows."""
 
@@ -35,15 +35,15 @@
         started.set_faults("i-0", hang_after=2)
         started.start_replica("i-1", work_s=0.5)
         time.sleep(0.5)
-        spend_budget(started)
+        exhaust_budget(started)
         began = time.monotonic()
         answer = ask(started, "/stream/", "POST", b"x")
         assert answer.whole
         assert answer.body.count(b"id: ") == 5
-        assert time.monotonic() - began < SOON_S
+        assert time.monotonic() - began < MAX_STREAM_S
 
 
-def spend_budget(started: node.Platform) -> None:
+def exhaust_budget(started: node.Platform) -> None:
     """Lets a request have the one further attempt that there is."""
     started.set_faults("i-1", fail=True)
     started.set_faults("i-0", fail=True)
--- a/test/test_path.py
+++ b/test/test_path.py
@@ -41,7 +41,7 @@
     )
 
 
-def test_openai_client_streams_its_own_whole_answer(
+def test_openai_client_streams_its_complete_answer(
     running: deployment.Deployment,
 ) -> None:
     stream = make_client(running).chat.completions.create(
@@ -57,7 +57,7 @@
     assert text == "".join(f"{tag}-{n} " for n in range(1, count + 1))
 
 
-def test_openai_client_gets_a_whole_answer_and_the_models(
+def test_openai_client_gets_a_complete_answer_and_the_models(
     running: deployment.Deployment,
 ) -> None:
     client = make_client(running)
@@ -92,7 +92,7 @@
         ),
     ],
 )
-def test_refuses_what_cannot_be_served(
+def test_invalid_requests_are_refused(
     running: deployment.Deployment,
     body: Any,
     key: str | None,
@@ -110,7 +110,7 @@
     assert answer["error"]["outcome"] == "not_run"
 
 
-def test_a_zone_without_the_service_sends_requests_on(
+def test_a_zone_without_the_service_forwards_requests(
     running: deployment.Deployment,
 ) -> None:
     elsewhere = running.processes["entry/waw-b-vm1"].url
@@ -119,7 +119,7 @@
     assert (got[0], got[2]["service"]) == (200, "portal-1")
 
 
-def test_plain_service_runs_a_key_once(
+def test_a_plain_service_runs_an_idempotency_key_once(
     running: deployment.Deployment,
 ) -> None:
     url = running.entries[0].url + "/services/portal/invoices?draft=no"
@@ -138,7 +138,7 @@
     assert ledger["runs_by_key"]["invoice-1"] == 1
 
 
-def test_a_key_that_tells_its_age_is_refused_when_it_is_too_old(
+def test_an_expired_uuid7_key_is_refused(
     running: deployment.Deployment,
 ) -> None:
     url = running.entries[0].url + "/services/portal/invoices"
--- a/test/test_socket_stream.py
+++ b/test/test_socket_stream.py
@@ -18,7 +18,7 @@
 LARGE = bytes(range(256)) * 16 * 1024
 """4 MiB, more than all buffers on the way hold."""
 
-ONE_READ_BYTES = 256 * 1024
+EVENT_LOOP_READ_BYTES = 256 * 1024
 """What the event loop reads of a socket at a time."""
 
 
@@ -55,15 +55,15 @@
     return b"".join(parts)
 
 
-async def test_what_nobody_reads_is_bounded_and_holds_the_writer_up() -> None:
+async def test_unread_data_is_bounded_and_blocks_the_writer() -> None:
     async with open_pair() as (one, other):
         with pytest.raises(TimeoutError):
             await one.send(LARGE, 0.3)
         held = other._unread_bytes
-        assert held <= streams.MAX_UNREAD_BYTES + ONE_READ_BYTES
+        assert held <= streams.MAX_UNREAD_BYTES + EVENT_LOOP_READ_BYTES
 
 
-async def test_bytes_arrive_whole_and_in_order() -> None:
+async def test_bytes_arrive_complete_and_in_order() -> None:
     async with open_pair() as (one, other), anyio.create_task_group() as tasks:
 
         async def write() -> None:
@@ -75,7 +75,7 @@
         assert await read_all(other) == LARGE + b"end"
 
 
-async def test_a_silence_is_told_once_it_has_lasted_and_no_sooner() -> None:
+async def test_receive_times_out_neither_early_nor_late() -> None:
     async with open_pair() as (one, other):
         for wait_s in (0.3, 0.1, 0.2):
             began = steadyclock.read()
@@ -86,7 +86,7 @@
         assert await other.receive(1.0) == b"late"
 
 
-async def test_a_wait_without_end_is_not_ended_by_an_earlier_one() -> None:
+async def test_an_earlier_timeout_does_not_end_an_unlimited_wait() -> None:
     async with open_pair() as (one, other):
         await one.send(b"a", 1.0)
         assert await other.receive(0.1) == b"a"
@@ -95,9 +95,7 @@
         assert scope.cancelled_caught
 
 
-async def test_the_end_of_the_peer_calls_back_once_and_data_comes_first() -> (
-    None
-):
+async def test_on_end_is_called_once_and_buffered_data_stays_readable() -> None:
     async with open_pair() as (one, other):
         ends: list[None] = []
         other.on_end = lambda: ends.append(None)
@@ -112,7 +110,7 @@
             await other.receive()
 
 
-async def test_a_reset_breaks_reading_and_writing() -> None:
+async def test_a_reset_breaks_receive_and_send() -> None:
     async with open_pair() as (one, other):
         one.close()
         await anyio.sleep(0.1)
@@ -124,7 +122,7 @@
                 await anyio.sleep(0.01)
 
 
-async def test_a_peer_that_does_not_read_is_not_waited_for_at_the_end() -> None:
+async def test_flush_and_close_does_not_wait_for_a_stalled_peer() -> None:
     async with open_pair() as (one, other):
         with pytest.raises(TimeoutError):
             await one.send(LARGE, 0.1)
--- a/test/test_stream.py
+++ b/test/test_stream.py
@@ -21,7 +21,7 @@
     return "asyncio"
 
 
-class CutExchange:
+class TruncatedExchange:
     """An exchange that ends without a word, as one dropped for slowness."""
 
     request_id = "r"
@@ -36,8 +36,8 @@
         self.abandoned = True
 
 
-async def test_a_stream_without_an_end_is_ended_by_an_error_event() -> None:
-    served = CutExchange()
+async def test_a_truncated_stream_ends_with_an_error_event() -> None:
+    served = TruncatedExchange()
     info = message.RequestInfo(
         "r", message.ShardKey("z", "s"), "c", "t", 1, 1, (), 9.0
     )
--- a/test/test_suspension.py
+++ b/test/test_suspension.py
@@ -47,10 +47,10 @@
     idle = FakeIdleConnection(steady)
 
     async def run() -> None:
-        kept = client.RelayClient(header.PlatformDialect())
-        kept._idle["127.0.0.1:1"] = [idle]  # type: ignore[list-item]
+        pool = client.RelayClient(header.PlatformDialect())
+        pool._idle["127.0.0.1:1"] = [idle]  # type: ignore[list-item]
         with pytest.raises(connection.NotSentError):
-            await kept._checkout(connection.Target("127.0.0.1:1"), False)
+            await pool._checkout(connection.Target("127.0.0.1:1"), False)
 
     anyio.run(run)
     assert idle.closed
