--- a/ramptray/relay/__init__.py
+++ b/ramptray/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' requests relayed byte for byte, routed by host and path."""
+"""HTTP relay: routes requests by host and path, forwards bodies unchanged."""
--- a/ramptray/relay/backend_probe.py
+++ b/ramptray/relay/backend_probe.py
@@ -1,4 +1,4 @@
-"""Finds out what became of a backend server whose connection has broken."""
+"""Probes a backend server after a connection to it has broken."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 import anyio
 
 CONNECT_TIMEOUT_S = 0.06
-"""How long a look may take, in seconds: an address where nothing listens says
-so within a round trip of some milliseconds, on a slow VM some ten."""
+"""Longest time to open the probe connection, in seconds.  An address without a
+listener refuses within a round trip of a few milliseconds, or about ten on a
+slow VM."""
 
 CLOSE_WATCH_S = 0.02
-"""How long a new connection is watched, in seconds: of a program that ends the
-kernel closes one socket after the other, perhaps the listening one last."""
+"""How long the new connection is watched for a close, in seconds.  When a
+process ends, the kernel closes its sockets one by one, possibly the listening
+socket last."""
 
 
 class ProbeResult(enum.Enum):
-    """What a new connection says of a backend server.
+    """What a new connection shows about a backend server.
 
     Attributes:
-        GONE: Nothing listens at its address: its program has ended.
-        LISTENING: It takes connections.
-        SILENT: It says nothing: it, its machine or the way there is lost.
+        GONE: Nothing listens at its address; its process has ended.
+        LISTENING: It accepts connections.
+        SILENT: It does not respond; the server, its machine or the network
+            path has failed.
     """
 
     GONE = "gone"
@@ -33,8 +36,8 @@
 async def probe_backend(address: str) -> ProbeResult:
     """Opens a connection to a backend server and closes it again.
 
-    A reset, a fault of the network and a program that has ended look alike on
-    the connection that broke; a new one tells them apart.
+    On the broken connection a reset, a network fault and an ended process look
+    the same; a new connection distinguishes them.
 
     Args:
         address: IP number and port of the backend server.
@@ -46,7 +49,7 @@
 
 
 async def _try_to_connect(address: str) -> ProbeResult | None:
-    """Returns what a connection says; None where it was closed at once."""
+    """Returns the result of one connection; None if it was closed at once."""
     host, _, port = address.rpartition(":")
     try:
         with anyio.fail_after(CONNECT_TIMEOUT_S):
@@ -66,7 +69,10 @@
 
 
 def _classify_error(error: OSError) -> ProbeResult:
-    """Returns what a failed connection says; anyio hides the cause in it."""
+    """Returns the result for a failed connection.
+
+    anyio wraps the original error, so its cause and context are checked too.
+    """
     causes = [error, error.__cause__, error.__context__]
     if any(isinstance(cause, ConnectionRefusedError) for cause in causes):
         return ProbeResult.GONE
--- a/ramptray/relay/client.py
+++ b/ramptray/relay/client.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers, kept and reused one request at a time."""
+"""Connection pool to backend servers, one request per connection at a time."""
 
 from __future__ import annotations
 
@@ -15,19 +15,22 @@
 from ramptray.relay import dialect as dialects
 
 MAX_IDLE_NOT_REPEATABLE_S = 5.0
-"""How long a connection may have been idle to carry a request that may run only
-once: if it closes as the request is sent, nobody knows whether it ran.  That
-takes a round trip of bad luck; a connection that is closed already is seen."""
+"""Longest idle time, in seconds, of a connection that is reused for a request
+that may run only once.  If the server closes the connection while the request
+is being sent, it is unknown whether the request ran.  The race lasts one round
+trip; a connection that is already closed is detected."""
 
 HANG_WINDOW_S = 1.0
-"""Backend servers that hang within this time, in seconds, hang together."""
+"""Hangs of several backend servers within this time, in seconds, count as
+simultaneous."""
 
 MIN_SIMULTANEOUS_HANGS = 2
-"""So many that hang together may be sound behind silent connections."""
+"""With this many simultaneous hangs the connections are suspected rather than
+the backend servers."""
 
 
 class Counters(msgspec.Struct):
-    """What the client has done since its start."""
+    """Connections opened, reused and failed to open since the start."""
 
     opened: int = 0
     reused: int = 0
@@ -35,7 +38,7 @@
 
 
 class RelayClient:
-    """Opens, keeps and reuses connections to backend servers."""
+    """Pool of connections to backend servers."""
 
     def __init__(self, dialect: dialects.Dialect) -> None:
         self.counters = Counters()
@@ -50,7 +53,7 @@
     async def borrow(
         self, target: connections.Target, not_repeatable: bool
     ) -> AsyncIterator[connections.Connection]:
-        """Lends a connection; it is kept afterwards if it is still clean.
+        """Borrows a connection; it returns to the pool if it is reusable.
 
         Args:
             target: The backend server.
@@ -79,10 +82,10 @@
                     await connection.close()
 
     async def close_former_runs(self, backend: str, run: int) -> None:
-        """Closes what leads to earlier runs of a backend server.
+        """Closes connections to earlier runs of a backend server.
 
-        A run that lost its power says nothing: requests at work there would be
-        waited for until their callers' deadlines.
+        A run that lost power sends nothing, so requests in flight on these
+        connections would otherwise wait until their callers' deadlines.
         """
         current = connections.Target("", backend, run)
         stale = [
@@ -94,35 +97,37 @@
             if connection.target.is_other_run(current)
         ]
         for connection in stale:
-            # Idle ones are not lent again; what is lent breaks for its user.
+            # Idle connections are not reused; borrowed ones fail in use.
             connection.idle_timeout_s = 0.0
             await connection.close()
 
     async def run(self) -> None:
-        """Closes connections that have been idle for long, until cancelled."""
+        """Closes expired connections at regular intervals until cancelled."""
         while True:
             await anyio.sleep(connections.IDLE_MARGIN_S)
             await self.close_expired(steadyclock.read())
 
     def expire_idle(self, addresses: Iterable[str]) -> None:
-        """Lends no idle connection to these backend servers any more.
+        """Stops reusing the idle connections to these backend servers.
 
-        A connection from before a cut takes a request and says nothing, while
-        opening a new one shows soon whether there is a way.
+        A connection from before a network cut accepts a request and then stays
+        silent, whereas opening a new one soon shows whether the server can be
+        reached.
         """
         for address in addresses:
             for connection in self._idle[address]:
                 connection.idle_timeout_s = 0.0
 
     def expire_all_idle(self) -> None:
-        """Lends no idle connection any more."""
+        """Stops reusing all idle connections."""
         self.expire_idle(list(self._idle))
 
     def _record_hang(self, target: connections.Target, now: float) -> None:
-        """Distrusts idle connections beside one on which nothing came.
+        """Expires the idle connections that a hang makes suspect.
 
-        Open connections may fall silent in numbers.  Where several backend
-        servers hang at once the connections are the likelier reason.
+        Many open connections may fall silent at the same time.  If several
+        backend servers hang at once, the connections are the likelier cause,
+        and idle connections to all servers are expired.
         """
         self._last_hang_at[target.address] = now
         hung = {
@@ -135,9 +140,9 @@
         self.expire_idle(list(self._idle) if simultaneous else [target.address])
 
     async def probe(self, url: str) -> bool:
-        """Returns whether there is a way to a backend server.
+        """Returns whether a backend server can be reached.
 
-        A connection that could be opened is kept for the next request.
+        A connection that was opened is kept for the next request.
         """
         address = url.removeprefix("http://")
         try:
@@ -149,12 +154,12 @@
         return True
 
     async def close_expired(self, now: float) -> None:
-        """Closes the connections that are idle for too long."""
+        """Closes idle connections that have reached their idle timeout."""
         for idle in list(self._idle.values()):
             expired = [
                 c for c in idle if now - c.idle_since >= c.idle_timeout_s
             ]
-            # The list stays the same one: others may be taking from it.
+            # Modified in place: _checkout may be using it while close awaits.
             for connection in expired:
                 idle.remove(connection)
             for connection in expired:
--- a/ramptray/relay/connection.py
+++ b/ramptray/relay/connection.py
@@ -1,4 +1,4 @@
-"""A connection to a backend server, with one request at a time."""
+"""HTTP/1.1 client connection to a backend server, one request at a time."""
 
 from __future__ import annotations
 
@@ -18,33 +18,35 @@
 LOG = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 0.12
-"""Longest time to open a connection, in seconds: some fifty round trips of a
+"""Longest time to open a connection, in seconds: about fifty round trips in a
 deployment whose zones are about a millisecond apart."""
 
 DEFAULT_IDLE_TIMEOUT_S = 10.0
-"""How long an idle connection is kept where the backend server says nothing."""
+"""How long an idle connection is kept, in seconds, if the backend server names
+no timeout."""
 
 IDLE_MARGIN_S = 1.0
-"""How much earlier than the backend server an idle connection is given up."""
+"""How long before the backend server's timeout an idle connection expires here,
+in seconds."""
 
 SEND_TIMEOUT_S = 30.0
-"""Longest time a backend server may leave a request unread, in seconds; a
-request's own time ends before."""
+"""Longest time a backend server may leave a request unread, in seconds.  The
+request's own deadline is earlier."""
 
 MAX_HEAD_BYTES = 65536
 MAX_SKIPPED_RESPONSES = 4
-"""Answers to other requests that are skipped at most."""
+"""Largest number of responses to other requests that are skipped."""
 
 
 class RelayError(Exception):
-    """Base of the errors of a backend server's connection."""
+    """Base class for errors on a connection to a backend server."""
 
 
 class NotSentError(RelayError):
-    """The connection could not be opened: no byte of the request was sent.
+    """The connection could not be opened; no byte of the request was sent.
 
     Attributes:
-        refused: Whether the backend server refused it; else it was silent.
+        refused: Whether it was refused; otherwise the attempt timed out.
     """
 
     def __init__(self, text: str, refused: bool) -> None:
@@ -53,16 +55,16 @@
 
 
 class BrokenError(RelayError):
-    """The connection broke, or its bytes are no answer, after the request."""
+    """The connection broke or the response was invalid after the request."""
 
 
 class Target(msgspec.Struct, frozen=True):
-    """Whom a request is sent to.
+    """The backend server that a request is sent to.
 
     Attributes:
         address: IP number and port of the backend server.
-        backend: Its name; empty where any program at that address will do.
-        run: Which of its runs; see ``core.message.Grant``.
+        backend: Its name; empty if any program at that address will do.
+        run: Which run of the backend server; see ``core.message.Grant``.
     """
 
     address: str
@@ -75,11 +77,11 @@
 
 
 class HungError(BrokenError):
-    """Nothing came for so long that the connection may be a dead one."""
+    """Nothing arrived for so long that the connection may be dead."""
 
 
 class Connection:
-    """One connection to a backend server, with one request at a time."""
+    """A connection to a backend server that carries one request at a time."""
 
     def __init__(
         self,
@@ -99,7 +101,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether the last exchange left the connection clean."""
+        """Whether the connection can carry another request."""
         http = self._http
         return (
             self._response_complete
@@ -111,7 +113,7 @@
     def is_usable(self) -> bool:
         """Returns whether nothing has arrived while the connection was idle.
 
-        Bytes that nobody asked for, an end or an error make it useless.
+        Unsolicited bytes, a closed connection or an error make it unusable.
         """
         sock = self._stream.get_socket()
         if sock is None or not self._stream.is_open_and_empty:
@@ -123,7 +125,7 @@
     async def send(
         self, request: message.CallerRequest, attempt: message.Attempt
     ) -> None:
-        """Sends a whole request.
+        """Sends a complete request.
 
         Raises:
             BrokenError: The connection broke; the request may have arrived.
@@ -153,24 +155,24 @@
     async def read_head(
         self, request_id: str, timeout_s: float | None = None
     ) -> message.ResponseHead:
-        """Returns the head of the answer to this request.
+        """Returns the head of the response to this request.
 
-        Answers to other requests that come in its place are skipped.
+        Responses to other requests that arrive before it are skipped.
 
         Args:
-            request_id: The request.
-            timeout_s: Longest silence, in seconds; None for without end.
+            request_id: Id of the request.
+            timeout_s: Longest silence, in seconds; None for no limit.
 
         Raises:
-            BrokenError: There is no answer.
-            TimeoutError: Nothing came in time; it may be called again.
+            BrokenError: No response arrived.
+            TimeoutError: Nothing arrived in time; it may be called again.
         """
         for _ in range(MAX_SKIPPED_RESPONSES):
             event = await self._next_event(timeout_s)
             while isinstance(event, h11.InformationalResponse):
                 event = await self._next_event(timeout_s)
             if not isinstance(event, h11.Response):
-                raise BrokenError(f"{self.address}: no answer's head")
+                raise BrokenError(f"{self.address}: no response head")
             head = self._dialect.parse_response_head(
                 event.status_code, list(event.headers.raw_items())
             )
@@ -179,64 +181,66 @@
                     self.idle_timeout_s = max(0.0, head.idle_s - IDLE_MARGIN_S)
                 return head
             await self._skip_response(head)
-        raise BrokenError(f"{self.address}: only answers to other requests")
+        raise BrokenError(f"{self.address}: only responses to other requests")
 
     async def iterate_body(self) -> AsyncIterator[bytes]:
-        """Yields the answer's body as it arrives.
+        """Yields the response's body as it arrives.
 
         Raises:
-            BrokenError: It ends early.
+            BrokenError: The response ended early.
         """
         while (part := await self.read_part()) is not None:
             yield part
 
     async def read_part(self, timeout_s: float | None = None) -> bytes | None:
-        """Returns the next bytes of the answer's body; None at its end.
+        """Returns the next bytes of the response's body; None at its end.
 
         Args:
-            timeout_s: Longest silence, in seconds; None for without end.
+            timeout_s: Longest silence, in seconds; None for no limit.
 
         Raises:
-            BrokenError: It ends early.
-            TimeoutError: Nothing came in time; it may be called again.
+            BrokenError: The response ended early.
+            TimeoutError: Nothing arrived in time; it may be called again.
         """
         event = await self._next_event(timeout_s)
         if isinstance(event, h11.EndOfMessage):
             self._response_complete = True
             return None
         if not isinstance(event, h11.Data):
-            raise BrokenError(f"{self.address}: the answer ended early")
+            raise BrokenError(f"{self.address}: the response ended early")
         return bytes(event.data)
 
     async def read_body(self) -> bytes:
-        """Returns the whole body of the answer.
+        """Returns the complete body of the response.
 
         Raises:
-            BrokenError: It ends early.
+            BrokenError: The response ended early.
         """
         return b"".join([part async for part in self.iterate_body()])
 
     async def close(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection without flushing."""
         self._stream.close()
 
     def start_next_cycle(self) -> None:
-        """Makes ready for the next request."""
+        """Prepares the connection for the next request."""
         self._http.start_next_cycle()
 
     async def _skip_response(self, head: message.ResponseHead) -> None:
-        """Reads an answer to another request to its end, and starts anew."""
+        """Reads a response to another request and resets the parser."""
         LOG.info(
-            "skipped an answer to another request",
+            "skipped a response to another request",
             extra={"backend": self.address, "request_id": head.request_id},
         )
         await self.read_body()
         self._response_complete = False
         trailing, closed = self._http.trailing_data
         if closed:
-            raise BrokenError(f"{self.address}: closed after a surplus answer")
+            raise BrokenError(
+                f"{self.address}: closed after a response to another request"
+            )
         self._http = h11.Connection(h11.CLIENT, MAX_HEAD_BYTES)
-        # The parser only reads an answer where it has seen a request.
+        # h11 parses a response only after it has seen a request.
         placeholder = h11.Request(
             method=self._method, target=b"/", headers=[(b"Host", b"-")]
         )
--- a/ramptray/relay/content.py
+++ b/ramptray/relay/content.py
@@ -1,4 +1,4 @@
-"""Tells requests with the same content from others, without keeping bodies."""
+"""Digests that identify requests with the same content without storing it."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from ramptray.relay import message
 
 DIGEST_BYTES = 12
-"""Size of a digest, in bytes: two of a billion contents are the same by chance
-with a probability of one in 10^11."""
+"""Size of a digest, in bytes.  Among a billion contents, the probability of a
+collision is one in 10^11."""
 
 
 def make_digest(
     request: message.CallerRequest, customer: str, key: bytes
 ) -> str:
-    """Returns what requests of the same content have in common.
+    """Returns a digest that is equal for requests with the same content.
 
-    Same are those of one customer with the same method, host, path, query and
-    body, whatever id or headers they carry.
+    Requests have the same content if customer, method, host, path, query and
+    body are equal; ids and headers do not count.
 
     Args:
         request: The request.
         customer: The customer whose key the caller holds.
-        key: Secret of the deployment: without it nobody can find out from a
-            log line whether a request had a certain body.
+        key: Secret key of the deployment.  Without it nobody can find out from
+            a log line whether a request had a certain body.
     """
     hasher = hashlib.blake2b(key=key, digest_size=DIGEST_BYTES)
     for part in (
--- a/ramptray/relay/event.py
+++ b/ramptray/relay/event.py
@@ -1,7 +1,8 @@
-"""Splits a stream of server-sent events at their ends.
+"""Splits a stream of server-sent events at event boundaries.
 
-Only whole events are passed on, so that a stream that breaks in the middle of
-one can go on elsewhere without a piece twice or missing.
+Only complete events are forwarded, so that a stream that breaks in the middle
+of an event can resume at another backend server without duplicated or missing
+bytes.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 
 
 class EventSplitter:
-    """Holds back the beginning of an event until its end has arrived.
+    """Buffers an incomplete event until its end has arrived.
 
     Attributes:
-        last_id: Id of the last whole event; None before the first.
-        count: Whole events so far.
+        last_id: Id of the last complete event that has one; None so far.
+        count: Number of complete events so far.
     """
 
     def __init__(self) -> None:
@@ -26,7 +27,7 @@
         self._remainder = b""
 
     def split(self, data: bytes) -> bytes:
-        """Returns the whole events that these bytes complete."""
+        """Returns the events that these bytes complete."""
         buffered = self._remainder + data
         end = 0
         for found in _END.finditer(buffered):
@@ -38,6 +39,6 @@
         return complete
 
     def take_remainder(self) -> bytes:
-        """Returns what follows the last whole event."""
+        """Returns and clears the bytes after the last complete event."""
         remainder, self._remainder = self._remainder, b""
         return remainder
--- a/ramptray/relay/message.py
+++ b/ramptray/relay/message.py
@@ -1,4 +1,4 @@
-"""What passes between callers, the relay and backend servers, typed."""
+"""Types of the requests and responses that the relay handles."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RequestHead(msgspec.Struct, frozen=True):
-    """The head of an HTTP request as it arrived."""
+    """The head of an HTTP request as received."""
 
     method: bytes
     target: bytes
@@ -22,17 +22,18 @@
         method: HTTP method.
         target: Path and query, unchanged.
         host: The host the caller named, without a port.
-        headers: Headers that travel on, those of one connection left out.
+        headers: End-to-end headers; hop-by-hop headers are removed.
         request_id: The id that the caller gave this attempt.
-        deadline_s: Seconds the caller will wait; None where it does not say.
-        key: The bearer key; None where there is none.
-        prompt_tokens: Size of the prompt; None where it does not say.
-        output_tokens: Most tokens that may be generated.
-        likely_tokens: The caller's guess of the tokens generated.
+        deadline_s: Seconds the caller will wait; None if not given.
+        key: The bearer key; None if not given.
+        prompt_tokens: Size of the prompt; None if not given.
+        output_tokens: Largest number of tokens that may be generated.
+        likely_tokens: The caller's estimate of the tokens generated.
         prefix: Chained hash of each part of the prompt, in order.
-        prefix_tokens: Tokens of each part.
-        last_event: The last event the caller has of an earlier stream.
-        body: The whole body.
+        prefix_tokens: Number of tokens in each part.
+        last_event: Id of the last event the caller received of an earlier
+            stream.
+        body: The complete body.
     """
 
     method: bytes
@@ -52,11 +53,11 @@
 
 
 class InvalidRequest(msgspec.Struct, frozen=True):
-    """A request that cannot be served as it is.
+    """Why a request is invalid.
 
     Attributes:
-        status: HTTP status of the answer.
-        text: What is wrong with it.
+        status: HTTP status of the response.
+        text: What is wrong with the request.
     """
 
     status: int
@@ -64,13 +65,14 @@
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """One sending of a request to one backend server.
+    """One attempt to serve a request at a backend server.
 
     Attributes:
-        backend: Name of the backend server that is meant.
+        backend: Name of the intended backend server.
         customer: The customer whose key the caller holds.
         deadline_s: Seconds the backend server may take.
-        last_event: Where a stream goes on; None for its beginning.
+        last_event: Id of the event after which a stream resumes; None to start
+            at its beginning.
     """
 
     backend: str
@@ -80,20 +82,20 @@
 
 
 class ResponseHead(msgspec.Struct, frozen=True):
-    """The head of a backend server's answer, decoded.
+    """The head of a backend server's response, decoded.
 
     Attributes:
         status: HTTP status.
-        headers: Headers that travel on, those of one connection left out.
-        request_id: The request that it answers; None where it does not say.
+        headers: End-to-end headers; hop-by-hop headers are removed.
+        request_id: Id of the request it belongs to; None if not given.
         not_run: Whether it says that the request has not run and never will.
         idle_s: Seconds that the connection may then stay idle; None where the
             response does not say.
-        limit_per_s: Requests a second that the backend server accepts from
-            all VMs together; None where it names no limit.
+        limit_per_s: Requests per second that the backend server accepts from
+            all VMs together; None if it names no limit.
         is_leaving: Whether the backend server says that it is leaving.
-        pause_s: Seconds for which a backend server that turned the request
-            away wants nothing from this VM; None where it does not say.
+        pause_s: Seconds for which a backend server that refused the request
+            wants no further requests from this VM; None if not given.
     """
 
     status: int
@@ -107,7 +109,7 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A complete response."""
 
     head: ResponseHead
     body: bytes
--- a/ramptray/relay/response_headers.py
+++ b/ramptray/relay/response_headers.py
@@ -1,4 +1,4 @@
-"""Field names of HTTP answers that say nothing about a backend server."""
+"""Standard HTTP response headers, which carry no backend server hints."""
 
 from __future__ import annotations
 
@@ -25,5 +25,5 @@
         b"via",
     }
 )
-"""Names registered for HTTP (RFC 9110, RFC 9111, RFC 9112), as far as answers
-of backend servers usually have them."""
+"""Names registered for HTTP (RFC 9110, RFC 9111, RFC 9112) that are common in
+responses of backend servers."""
--- a/ramptray/relay/routing.py
+++ b/ramptray/relay/routing.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which service."""
+"""Selects the route and the service of a request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from ramptray.bundle import model
 
 SPLIT_STEPS = 1_000_000
-"""Steps into which a route's weights are divided."""
+"""Resolution of a traffic split: a request id is hashed to one of so many steps
+of the total weight."""
 
 
 class RouteTable:
@@ -24,7 +25,7 @@
             self._by_host.setdefault(route.host.lower(), []).append(route)
 
     def find(self, host: str, target: bytes) -> model.Route | None:
-        """Returns the route with the longest prefix of the path."""
+        """Returns the route with the longest matching path prefix."""
         path = target.partition(b"?")[0].decode("latin-1")
         return next(
             (
@@ -37,7 +38,10 @@
 
 
 def pick_service(route: model.Route, request_id: str) -> str:
-    """Returns the service that takes a request, by the targets' weights."""
+    """Returns the service of a request, chosen by the targets' weights.
+
+    Requests with the same id get the same service.
+    """
     total = sum(target.weight for target in route.targets)
     if len(route.targets) == 1 or total <= 0:
         return route.targets[0].service
--- a/ramptray/relay/server.py
+++ b/ramptray/relay/server.py
@@ -1,4 +1,4 @@
-"""The callers' side of the relay: HTTP/1.1 connections, one task each."""
+"""HTTP/1.1 server of the relay; one task serves each caller's connection."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 LOG = logging.getLogger(__name__)
 
 WRITE_TIMEOUT_S = 30.0
-"""Longest time a caller may leave its answer unread, in seconds."""
+"""Longest time a caller may leave its response unread, in seconds."""
 
 BODY_TIMEOUT_S = 10.0
-"""Longest time a body may take to arrive, in seconds."""
+"""Longest time a request's body may take to arrive, in seconds."""
 
 REQUEST_TIMEOUT = 408
 CONTENT_TOO_LARGE = 413
@@ -33,7 +33,7 @@
 BAD_REQUEST = 400
 
 STOPPING = refusal.Refusal(refusal.UNAVAILABLE, "stopping", 0.05)
-"""Other VMs can serve the request at once."""
+"""Sent during a planned stop; another VM can serve the retry at once."""
 
 Serve = Callable[
     [message.CallerRequest, exchange.ResponseWriter], Awaitable[None]
@@ -41,11 +41,11 @@
 
 
 class CallerDisconnectedError(Exception):
-    """The caller has closed its connection or cannot be written to."""
+    """The caller closed its connection or cannot be written to."""
 
 
 class _BadRequestError(Exception):
-    """The bytes of a caller are no request that can be served."""
+    """The bytes received are not a valid request."""
 
     def __init__(self, invalid: message.InvalidRequest) -> None:
         self.invalid = invalid
@@ -53,19 +53,19 @@
 
 
 class ServerState(msgspec.Struct):
-    """What all connections of the server share.
+    """State shared by all connections of the server.
 
     Attributes:
-        limits: Limits towards callers, from the bundle in force.
-        stopping: Whether a planned stop has begun: answers then say that their
-            connection closes.
-        diverting: Whether callers are better served elsewhere: answers then say
-            that their connection closes.
-        refusing: Whether requests are refused: there is no time left to end
-            them before the process is killed.
-        idle: Connections that wait for a request.
-        active: Requests that are being served.
-        connections: Connections that are open.
+        limits: Limits for callers, from the bundle in force.
+        stopping: Whether a planned stop has begun; responses then carry
+            ``Connection: close``.
+        diverting: Whether another VM would serve callers better; responses
+            then carry ``Connection: close``.
+        refusing: Whether new requests are refused because too little time is
+            left to finish them before the process is killed.
+        idle: Cancel scopes of the connections waiting for a request.
+        active: Number of requests being served.
+        connections: Number of open connections.
     """
 
     limits: model.RelayLimits = msgspec.field(default_factory=model.RelayLimits)
@@ -81,7 +81,7 @@
     """Serves callers' connections.
 
     Args:
-        dialect: How requests are spelled.
+        dialect: Decodes requests and encodes response headers.
         serve: Serves one request.
     """
 
@@ -91,7 +91,7 @@
         self._serve = serve
 
     def refuse_new_requests(self) -> None:
-        """Serves no further request; what is being served goes on."""
+        """Refuses new requests; requests being served continue."""
         self.state.refusing = True
         for scope in list(self.state.idle):
             scope.cancel()
@@ -106,9 +106,9 @@
             )
             await connection.run()
         except (OSError, CallerDisconnectedError):
-            pass  # The caller has gone; nobody is left to be told.
+            pass  # The caller has disconnected; there is nobody to respond to.
         except Exception:
-            # A mistake in the code costs this connection, not the others.
+            # A bug must end this connection only, not the others.
             LOG.exception("connection ended by an error")
         finally:
             self.state.connections -= 1
@@ -116,7 +116,7 @@
 
 
 class CallerConnection:
-    """One connection of a caller, with one request after the other."""
+    """A caller's connection, which carries one request after another."""
 
     def __init__(
         self,
@@ -136,10 +136,10 @@
         """Serves requests until either side closes."""
         while await self._serve_one():
             self._http.start_next_cycle()
-            # The next head's limit is that of the configuration in force.
+            # _read_request checks the next head against the limits in force.
 
     async def _serve_one(self) -> bool:
-        """Serves one request; returns whether another one may follow."""
+        """Serves one request; returns whether the connection stays open."""
         try:
             request = await self._read_request()
         except _BadRequestError as error:
@@ -162,7 +162,7 @@
     async def _serve_until_disconnect(
         self, request: message.CallerRequest
     ) -> None:
-        """Serves a request and gives up as soon as the caller has gone."""
+        """Serves a request; cancels it as soon as the caller disconnects."""
         writer = CallerResponseWriter(self, request)
         with anyio.CancelScope() as scope:
             self._stream.on_end = scope.cancel
@@ -177,7 +177,7 @@
             raise CallerDisconnectedError
 
     async def _read_request(self) -> message.CallerRequest | None:
-        """Returns the next request, or None where there is none."""
+        """Returns the next request; None if the connection ended."""
         event = await self._read_head()
         if event is None:
             return None
@@ -266,7 +266,7 @@
         """Yields the body's parts.
 
         Raises:
-            TimeoutError: It is not whole by its time.
+            TimeoutError: The body is incomplete at the deadline.
         """
         while True:
             event = self._parse_event()
@@ -292,10 +292,10 @@
             raise _BadRequestError(invalid) from error
 
     async def _receive(self, timeout_s: float | None = None) -> bool:
-        """Reads some bytes; returns False at the end of the connection.
+        """Feeds received bytes to the parser; returns False at end of stream.
 
         Raises:
-            TimeoutError: Nothing came in time.
+            TimeoutError: Nothing arrived in time.
         """
         try:
             data = await self._stream.receive(timeout_s)
@@ -313,7 +313,7 @@
         """Writes bytes to the caller.
 
         Raises:
-            CallerDisconnectedError: It has gone, or it does not read.
+            CallerDisconnectedError: It disconnected or does not read.
         """
         try:
             await self._stream.send(data, WRITE_TIMEOUT_S)
@@ -326,10 +326,10 @@
             raise CallerDisconnectedError from error
 
     async def send_event(self, event: Any) -> None:
-        """Writes a part of an answer.
+        """Writes a part of a response.
 
         Raises:
-            CallerDisconnectedError: It has gone, or it does not read.
+            CallerDisconnectedError: It disconnected or does not read.
         """
         try:
             data = self._http.send(event)
@@ -340,12 +340,12 @@
             await self.send(data)
 
     async def abort(self) -> None:
-        """Closes the connection in the middle of an answer."""
+        """Closes the connection in the middle of a response."""
         self._aborted = True
         self._stream.close()
 
     def get_closing_headers(self) -> message.Headers:
-        """Returns the headers that announce a close, if there is one."""
+        """Returns ``Connection: close`` if the connection is about to close."""
         if self._state.stopping or self._state.diverting:
             return [(b"Connection", b"close")]
         return []
@@ -356,7 +356,7 @@
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         LOG.info(
-            "request refused as it is",
+            "invalid request refused",
             extra={"status": invalid.status, "detail": invalid.text},
         )
         headers = self._dialect.make_refusal_headers("", 0.0)
@@ -366,7 +366,7 @@
 
 
 class CallerResponseWriter(exchange.ResponseWriter):
-    """The way back to a caller on its connection."""
+    """Writes a response to a caller's connection."""
 
     def __init__(
         self, connection: CallerConnection, request: message.CallerRequest
@@ -410,7 +410,7 @@
 
 
 def _compute_head_size(head: message.RequestHead) -> int:
-    """Returns the size of a head in bytes, as good as it arrived."""
+    """Returns the approximate size of a head in bytes."""
     fields = sum(len(name) + len(value) + 4 for name, value in head.headers)
     return len(head.method) + len(head.target) + fields
 
@@ -420,7 +420,7 @@
     refused: refusal.Refusal,
     headers: message.Headers,
 ) -> None:
-    """Writes an answer of ramptray's own."""
+    """Writes an error response generated by ramptray."""
     body = json.dumps({"error": refused.text}).encode()
     headers = [
         *headers,
--- a/ramptray/relay/service.py
+++ b/ramptray/relay/service.py
@@ -1,4 +1,4 @@
-"""Takes relayed requests in: route, key, sizes, then the exchange."""
+"""Admits relayed requests: route, key and token counts, then the exchange."""
 
 from __future__ import annotations
 
@@ -19,29 +19,30 @@
 NOT_FOUND = 404
 
 MAX_WAIT_FRACTION = 0.45
-"""Part of a caller's patience that its request may wait before it is refused: a
-refusal after more than half of it leaves no time to come back."""
+"""Largest share of the caller's patience that a request may spend waiting; if
+it is refused after more than half, the caller has no time left to retry."""
 
 CONFIG_WAIT_S = 0.3
-"""How long a request waits for the first configuration of a VM that has just
-started, in seconds: the store's newest records arrive within some 20 ms, and
-within about 0.25 s while it is slow.  Longer would be most of an objective."""
+"""How long a request waits, in seconds, for the first configuration of a VM
+that has just started.  The store's newest records arrive within some 20 ms, or
+about 0.25 s while the store is slow; a longer wait would use up most of a
+route's objective."""
 
 NOT_READY_RETRY_S = 0.3
-"""When to come back to a VM that has no configuration yet, in seconds: the
-caller meets another VM then."""
+"""Retry-after of a VM without a configuration, in seconds; the retry reaches
+another VM."""
 
 
 class RelayService:
-    """Serves relayed requests by the bundle in force.
+    """Serves relayed requests according to the bundle in force.
 
     Args:
-        zone: The zone whose schedulers are asked.
-        dispatcher: The dispatcher.
-        client: Connections to backend servers.
+        zone: The zone whose schedulers place the requests.
+        dispatcher: Submits requests to the schedulers.
+        client: Connection pool to backend servers.
         metrics: Counters and histograms.
-        timeline: The time line.
-        content_key: Secret that goes into the digests of contents.
+        timeline: Records refused requests.
+        content_key: Secret key of the content digests.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
     async def serve(
         self, request: message.CallerRequest, writer: exchange.ResponseWriter
     ) -> None:
-        """Serves one request to the end of its answer."""
+        """Serves one request until its response has ended."""
         in_force = await self._dispatcher.network.wait_in_force(CONFIG_WAIT_S)
         if in_force is None:
             await self._refuse(
@@ -123,13 +124,13 @@
     def _route(
         self, request: message.CallerRequest, in_force: acceptance.InForce
     ) -> exchange.RoutedRequest | refusal.Refusal:
-        """Returns what to serve, or why it is not served."""
+        """Returns the request with its route, or the refusal to send."""
         bundle = in_force.bundle
         if (
             self._in_force is None
             or self._in_force.bundle.routes is not bundle.routes
         ):
-            # Most bundles differ in their backend servers only.
+            # Most bundles change only backend servers; keep the route table.
             self._routes = routing.RouteTable(bundle.routes)
         self._in_force = in_force
         route = self._routes.find(request.host, request.target)
@@ -206,7 +207,7 @@
 def _intersect(
     first: list[str] | None, second: list[str] | None
 ) -> tuple[str, ...] | None:
-    """Returns the regions that are in both lists; None stands for any."""
+    """Returns the regions in both lists; None means any region."""
     if first is None or second is None:
         either = second if first is None else first
         return None if either is None else tuple(either)
@@ -216,7 +217,7 @@
 def _count_tokens(
     request: message.CallerRequest, customer: model.Customer | None
 ) -> int:
-    """Returns what a request counts against its customer's limit."""
+    """Returns how many tokens to charge to the customer's limit."""
     if request.prompt_tokens is not None:
         return request.prompt_tokens + request.output_tokens
     if customer is None:
--- a/ramptray/relay/socket_stream.py
+++ b/ramptray/relay/socket_stream.py
@@ -1,9 +1,10 @@
-"""A TCP connection as the relay needs it: few system calls, few timers.
+"""TCP connection that saves system calls and timers.
 
-Load pattern: streams of many small events on VMs with a tenth of a core.  The
-library's streams switch the loop's interest in a socket on and off with each
-read, and each timeout costs a timer and a scope; here a socket is always read,
-up to a bound, and a timer is set anew only when it would fire too late.
+The relay forwards streams of many small events on VMs with a tenth of a core.
+anyio's streams register and unregister the socket with the event loop on each
+read, and each timeout costs a timer and a cancel scope.  Here the socket is
+always read, up to a limit, and a timer is restarted only if it would fire too
+late.
 """
 
 from __future__ import annotations
@@ -19,25 +20,26 @@
 from ramptray import steadyclock
 
 MAX_UNREAD_BYTES = 64 * 1024
-"""Bytes that may wait to be read; beyond it the peer is held up."""
+"""Limit of unread bytes; above it the socket is not read, so that TCP flow
+control stops the peer."""
 
 USER_TIMEOUT_MS = 600
 """How long sent bytes may stay unacknowledged, in milliseconds, before the
-connection counts as dead: two or three retransmissions.  A cut says nothing of
-itself."""
+connection is considered dead: two or three retransmissions.  A network cut
+produces no error of its own."""
 
 KEEPALIVE_INTERVAL_S = 1
-"""Silence after which the kernel asks whether the other end is still there, in
-seconds, the least that it can: a connection that fell silent while it was idle,
-or while an answer was awaited, is seen after twice that instead of never."""
+"""Idle time and interval of TCP keepalive probes, in seconds; 1 is the kernel's
+minimum.  A connection that dies while idle, or while a response is awaited, is
+detected after twice this time; without probes it would never be."""
 
 
 class SocketStream(asyncio.Protocol):
     """A connected socket, read by one task and written by one task.
 
     Attributes:
-        on_end: Called once nothing more can come: the peer has closed its side,
-            or the connection is lost.
+        on_end: Called once when no more data can arrive: the peer has closed
+            its side or the connection is lost.
     """
 
     def __init__(self) -> None:
@@ -58,16 +60,16 @@
         self._deadline = math.inf
         self._timer_fires_at = math.inf
 
-    # Called by the event loop.
+    # asyncio.Protocol callbacks.
 
     def connection_made(self, transport: Any) -> None:
-        """Takes the connection."""
+        """Stores the transport."""
         self._transport = transport
-        # What the peer does not take waits with whoever writes.
+        # No write buffer: send waits until the peer accepts the data.
         transport.set_write_buffer_limits(0)
 
     def data_received(self, data: bytes) -> None:
-        """Keeps bytes until they are read."""
+        """Buffers bytes until they are read."""
         self._unread.append(data)
         self._unread_bytes += len(data)
         if self._unread_bytes > MAX_UNREAD_BYTES and not self._reading_paused:
@@ -76,12 +78,12 @@
         _wake(self._read_waiter)
 
     def eof_received(self) -> bool:
-        """Notes that the peer sends nothing more; it may still read."""
+        """Marks the end of the peer's data; the peer may still read."""
         self._set_ended()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notes the end of the connection."""
+        """Marks the connection as lost."""
         self._lost = True
         self._error = exc
         self._set_ended()
@@ -90,11 +92,11 @@
             self._timer.cancel()
 
     def pause_writing(self) -> None:
-        """Notes that the peer does not take what was written."""
+        """Marks that the peer does not accept the written data."""
         self._writing_paused = True
 
     def resume_writing(self) -> None:
-        """Notes that it has taken all of it."""
+        """Marks that the written data has been accepted."""
         self._writing_paused = False
         _wake(self._write_waiter)
 
@@ -105,27 +107,27 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether nothing more can come, but for what waits to be read."""
+        """Whether no more data can arrive; buffered data may be unread."""
         return self._ended
 
     def get_socket(self) -> socket.socket | None:
-        """Returns the socket, None where it is closed."""
+        """Returns the socket; None if it is closed."""
         found: socket.socket | None = self._get_transport().get_extra_info(
             "socket"
         )
         return found
 
     async def receive(self, timeout_s: float | None = None) -> bytes:
-        """Returns what has arrived, waiting for the first of it.
+        """Returns all bytes received; waits if there are none.
 
         Args:
-            timeout_s: Longest time to wait, in seconds; None for without end.
+            timeout_s: Longest time to wait, in seconds; None for no limit.
 
         Raises:
-            EndOfStream: The peer sends nothing more.
+            EndOfStream: The peer has closed its side.
             BrokenResourceError: The connection is lost.
             ClosedResourceError: It was closed here.
-            TimeoutError: Nothing came in time.
+            TimeoutError: Nothing arrived in time.
         """
         while not self._unread:
             self._check_open()
@@ -141,7 +143,7 @@
         return data
 
     async def send(self, data: bytes, timeout_s: float) -> None:
-        """Writes bytes, and waits until the kernel has taken them.
+        """Writes bytes and waits until the kernel has accepted them.
 
         Args:
             data: The bytes.
@@ -166,7 +168,7 @@
         self._check_open()
 
     def close(self) -> None:
-        """Closes the connection at once; what was not taken is dropped."""
+        """Closes the connection at once and drops unsent data."""
         if not self._closed:
             self._closed = True
             self._get_transport().abort()
@@ -174,9 +176,9 @@
             _wake(self._write_waiter)
 
     def flush_and_close(self) -> None:
-        """Closes the connection; what was written still goes out.
+        """Sends the written data and closes the connection.
 
-        A peer that does not read what was written is not waited for.
+        If the peer has stopped reading, the data is dropped instead.
         """
         if self._writing_paused:
             self.close()
@@ -213,7 +215,7 @@
             self._read_waiter = None
 
     def _set_timer(self, deadline: float) -> None:
-        """Has the reader given up at a time, at the cost of few timers."""
+        """Sets the reader's deadline; keeps a timer that fires early enough."""
         self._deadline = deadline
         if self._timer is not None:
             if self._timer_fires_at <= deadline:
@@ -234,7 +236,7 @@
         if steadyclock.read() < self._deadline:
             self._start_timer()
             return
-        waiter.set_exception(TimeoutError("nothing came in time"))
+        waiter.set_exception(TimeoutError("nothing arrived in time"))
 
 
 def _wake(waiter: asyncio.Future[None] | None) -> None:
@@ -246,7 +248,7 @@
     """Opens a connection.
 
     Raises:
-        OSError: There is no way, or it was refused.
+        OSError: The host is unreachable or refused the connection.
     """
     loop = asyncio.get_running_loop()
     _, opened = await loop.create_connection(SocketStream, host, port)
@@ -255,10 +257,10 @@
 
 
 async def accept(listening: socket.socket) -> SocketStream:
-    """Takes the next connection of a listening socket.
+    """Accepts the next connection of a listening socket.
 
     Raises:
-        OSError: It could not be taken.
+        OSError: It could not be accepted.
     """
     loop = asyncio.get_running_loop()
     sock, _ = await loop.sock_accept(listening)
@@ -267,10 +269,12 @@
 
 
 def set_socket_options(stream: SocketStream) -> None:
-    """Makes a connection notice within seconds that its peer is cut off.
+    """Sets timeouts that detect an unreachable peer within seconds.
+
+    Also turns off Nagle's algorithm.
 
     Raises:
-        OSError: It has ended already.
+        OSError: The connection has ended already.
     """
     sock = stream.get_socket()
     if sock is None:
--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -1,4 +1,4 @@
-"""Further attempts, late requests, silent owners and unreachable servers."""
+"""Retries, queueing, rate limits, silent owners and unreachable servers."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def grant(machine: request.RequestMachine, backend: str) -> bool:
-    """Grants a backend server; tells whether the request is dispatched."""
+    """Grants a backend server; returns whether the request is dispatched."""
     effects = machine.receive_grant(
         message.Grant("r", f"g-{backend}", backend, OWNER)
     )
@@ -51,7 +51,7 @@
 def fail(
     machine: request.RequestMachine, not_run: bool, may_repeat: bool = True
 ) -> request.Finish | None:
-    """Ends an attempt; returns what the caller is told, if it ends."""
+    """Fails an attempt; returns the request's result if the request ends."""
     ended = message.Ended("r", 0, 0.0, False)
     finish = request.Finish(
         message.Outcome.UNKNOWN, message.Reason.BACKEND_LOST
@@ -165,7 +165,8 @@
 
 
 def test_vms_of_a_zone_agree_on_the_replacement_of_a_silent_owner() -> None:
-    # 89 VMs that each stand in for themselves fill the same engines.
+    # If each of 89 VMs replaced the owner by itself, all of them together would
+    # overload the same engines.
     shard = message.ShardKey("all", "lm")
     zones = {f"vm{n}": "a" if n < 4 else "b" for n in range(8)}
     members = [
@@ -241,7 +242,7 @@
 
 
 class FakeIdleConnection:
-    """An idle connection whose end takes a moment."""
+    """An idle connection whose close yields to other tasks."""
 
     def __init__(self, idle_since: float) -> None:
         self.target = connection.Target("")
@@ -286,8 +287,8 @@
 
 
 def test_a_server_whose_answers_break_off_gets_no_work_for_a_while() -> None:
-    # hanbit-qlog, inc-a19c: a replica that reset each connection always had
-    # room, and got the next request at once.
+    # Incident inc-a19c (hanbit-qlog): a replica that reset each connection
+    # always had free capacity and so got the next request at once.
     server = backend.Backend(backend.BackendInfo("b", 4, 10_000, 0))
     for number in range(availability.EJECT_AFTER_BREAKS):
         assert server.is_open(1.0)
@@ -344,7 +345,7 @@
     first, second = (limits.try_acquire("c", 150, 0.0) for _ in range(2))
     assert 0 < first < 0.1
     assert second == pytest.approx(first + 1.5)
-    # The bucket has earned two seconds' worth since.
+    # Two seconds later the bucket has refilled by 200 tokens.
     assert limits.try_acquire("c", 100, 2.0) == 0
     waits = [limits.try_acquire("c", 500, 2.0) for _ in range(9)]
     assert max(waits) == limit.MAX_RETRY_AFTER_S
--- a/test/test_gone.py
+++ b/test/test_gone.py
@@ -1,4 +1,4 @@
-"""Callers that leave: what they asked does not reach a backend server later."""
+"""Requests of callers that disconnected do not reach a backend server later."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 from test import node, test_node
 
 SETTLE_S = 0.5
-"""How long after callers have left their requests may still arrive, seconds."""
+"""How long requests may still arrive after their callers disconnected, in
+seconds."""
 
 MAX_LATE_REQUESTS = 3
-"""Requests that may cross their callers' leaving."""
+"""Requests that may be dispatched while their callers are disconnecting."""
 
 
 @pytest.fixture(scope="module")
 def platform() -> Iterator[node.Platform]:
-    """One VM with one replica of four places."""
+    """One VM with one replica that has four slots."""
     with node.run_platform(replicas=1) as started:
         test_node.wait_until(
             lambda: test_node.ask(started, "/safe/").status == 200
@@ -76,8 +77,8 @@
     finally:
         platform.set_faults("i-0")
     assert 1 <= len(ran) < len(names)
-    # They leave one after the other: whoever got the place of one that had left
-    # was still there.
+    # The callers disconnect one after the other: a request that got the slot of
+    # a disconnected caller was dispatched before its own caller disconnected.
     late = (names & set(platform.list_runs())) - ran
     sent_us = read_dispatch_times(platform)
     assert [
--- a/test/test_hang.py
+++ b/test/test_hang.py
@@ -1,11 +1,11 @@
-"""A stream that hangs while there is no budget for another attempt.
-
-Open connections fell silent.  Streams on them were left after 0.8 s where the
-budget of further attempts allowed another one at that moment; where it was used
-up just then, nobody looked again, and they were waited for until the callers'
-deadlines, though there was budget again two seconds later.  A stream of such a
-day fits it ("first_token" at 12.9 s, then nothing until its "end" with
-"caller_gone" at 27.7 s); its budget was not logged.
+"""A stream that hangs while the retry budget is exhausted.
+
+When open connections fell silent, a stream was retried after 0.8 s if the retry
+budget allowed another attempt at that moment.  If the budget was exhausted just
+then, it was not checked again, and the stream waited until its caller's
+deadline although the budget had refilled two seconds later.  One logged stream
+matches ("first_token" at 12.9 s, then nothing until "end" with "caller_gone" at
+27.7 s); its budget was not logged.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from test.test_node import ask, wait_until
 
 WINDOW_S = 2.0
-"""Window of the budget of further attempts, in seconds."""
+"""Window of the retry budget, in seconds."""
 
 MAX_STREAM_S = 3.6
-"""Time in which a stream that hangs must end, in seconds: less than the four
-seconds that its route allows."""
+"""Longest duration of the hung stream, in seconds: less than the four seconds
+that its route allows."""
 
 
 def test_a_stream_that_hangs_goes_on_when_there_is_budget_again() -> None:
-    # One further attempt in each window.
+    # One retry per window.
     bounds = {
         "retryBudgetRatio": 0.0,
         "retryBudgetSlack": 20,
@@ -44,7 +44,7 @@
 
 
 def exhaust_budget(started: node.Platform) -> None:
-    """Lets a request have the one further attempt that there is."""
+    """Uses the only retry of the window for another request."""
     started.set_faults("i-1", fail=True)
     started.set_faults("i-0", fail=True)
     ask(started, "/safe/")
--- a/test/test_path.py
+++ b/test/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path over real processes, as an ordinary caller sees it."""
+"""End-to-end requests through real processes, as an ordinary caller."""
 
 from __future__ import annotations
 
@@ -154,6 +154,6 @@
 
 
 def make_uuid7(made_ms: int) -> str:
-    """Returns a UUID of version 7 made at a moment."""
+    """Returns a version 7 UUID with the given creation time."""
     low = (7 << 76) | (2 << 62) | (made_ms & 0xFFFFFF)
     return str(uuid.UUID(int=(made_ms << 80) | low))
--- a/test/test_socket_stream.py
+++ b/test/test_socket_stream.py
@@ -1,4 +1,4 @@
-"""The relay's sockets: bounded, timed, and closed without waiting in vain."""
+"""The relay's sockets: bounded buffers, timeouts and closing."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 pytestmark = pytest.mark.anyio
 
 LARGE = bytes(range(256)) * 16 * 1024
-"""4 MiB, more than all buffers on the way hold."""
+"""4 MiB, more than all buffers on the path hold."""
 
 EVENT_LOOP_READ_BYTES = 256 * 1024
-"""What the event loop reads of a socket at a time."""
+"""Largest read of the event loop from a socket."""
 
 
 @pytest.fixture
--- a/test/test_stream.py
+++ b/test/test_stream.py
@@ -1,4 +1,4 @@
-"""A caller's stream never ends in silence."""
+"""A stream to a caller always ends with an end or an error event."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class TruncatedExchange:
-    """An exchange that ends without a word, as one dropped for slowness."""
+    """An exchange whose events stop without an end, as for a slow caller."""
 
     request_id = "r"
 
