--- a/ramptray/relay/exchange.py
+++ b/ramptray/relay/exchange.py
@@ -146,12 +146,16 @@
                 await self._attempt(effect.grant)
         except anyio.get_cancelled_exc_class():
             self.outcome = "caller_gone"
-            self._ticket.report(tickets.Abandoned(self._make_ended(False)))
+            self._ticket.report(
+                tickets.CallerDisconnected(self._make_ended(False))
+            )
             raise
         except Exception:
             # Releases the request's slot at the backend server.
             self.outcome = "error"
-            self._ticket.report(tickets.Abandoned(self._make_ended(False)))
+            self._ticket.report(
+                tickets.CallerDisconnected(self._make_ended(False))
+            )
             raise
 
     async def _finish(self, finish: request.Finish) -> None:
@@ -249,7 +253,7 @@
             try:
                 return await read(hang_timeout_s)
             except TimeoutError as error:
-                if self._dispatcher.may_repeat(self._ticket):
+                if self._dispatcher.may_retry(self._ticket):
                     raise connections.HungError(str(error)) from error
             hang_timeout_s = BUDGET_POLL_S
         return await read(None)
@@ -372,7 +376,7 @@
         self, grant: core_message.Grant
     ) -> connections.Target | None:
         """Returns the granted backend server; None if it may not be used."""
-        url = self._dispatcher.network.pick_url(grant)
+        url = self._dispatcher.backends.get_granted_url(grant)
         if url is None:
             return None
         address = url.removeprefix("http://")
@@ -398,7 +402,7 @@
             None,
             0,
         )
-        self._ticket.report(tickets.Begun(first))
+        self._ticket.report(tickets.FirstTokenReceived(first))
 
     def _report_complete(self, status: int) -> None:
         ended = msgspec.structs.replace(
@@ -436,7 +440,7 @@
 
     def _end_unknown(self, reason: core_message.Reason) -> None:
         ended = self._make_ended(False)
-        self._ticket.report(tickets.Lost(ended, reason))
+        self._ticket.report(tickets.AnswerLost(ended, reason))
 
     def _make_ended(self, complete: bool) -> core_message.Ended:
         decode_s = 0.0
--- a/ramptray/relay/service.py
+++ b/ramptray/relay/service.py
@@ -67,7 +67,9 @@
         self, request: message.CallerRequest, writer: exchange.ResponseWriter
     ) -> None:
         """Serves one request until its response has ended."""
-        in_force = await self._dispatcher.network.wait_in_force(CONFIG_WAIT_S)
+        in_force = await self._dispatcher.backends.wait_for_bundle(
+            CONFIG_WAIT_S
+        )
         if in_force is None:
             await self._refuse(
                 request,
