--- a/ramptray/relay/exchange.py
+++ b/ramptray/relay/exchange.py
@@ -85,7 +85,7 @@
     """A caller's request with its route and customer.
 
     Attributes:
-        request: The decoded request.
+        asked: The decoded request.
         info: Its description for the schedulers.
         route: The route that matched it.
         customer: The customer; empty on a public route without a key.
@@ -93,7 +93,7 @@
         tokens_per_event: Tokens in each event of a stream.
     """
 
-    request: message.CallerRequest
+    asked: message.CallerRequest
     info: core_message.RequestInfo
     route: model.Route
     customer: str
@@ -271,9 +271,9 @@
                 target.backend,
                 self._routed.customer,
                 max(0.0, self._deadline - steadyclock.read()),
-                self._splitter.last_id or self._routed.request.last_event,
+                self._splitter.last_id or self._routed.asked.last_event,
             )
-            await connection.send(self._routed.request, attempt)
+            await connection.send(self._routed.asked, attempt)
             head = await self._read_head(connection)
             # Before the body: requests in flight are checked against these
             # hints.
