--- a/test/test_stream.py
+++ b/test/test_stream.py
@@ -30,10 +30,10 @@
         send, self.items = anyio.create_memory_object_stream[Any](10)
         send.send_nowait(event.Event(2, "second"))
         send.close()
-        self.abandoned = False
+        self.cancelled = False
 
-    def abandon(self) -> None:
-        self.abandoned = True
+    def cancel(self) -> None:
+        self.cancelled = True
 
 
 async def test_a_stream_without_an_end_is_ended_by_an_error_event() -> None:
@@ -50,4 +50,4 @@
     assert parts[2].startswith("event: error\ndata: ")
     error = json.loads(parts[2].partition("data: ")[2])["error"]
     assert error["outcome"] == "unknown"
-    assert served.abandoned
+    assert served.cancelled
