--- a/ramptray/entry/__init__.py
+++ b/ramptray/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: callers' requests and their dispatch."""
+"""The entry process: dispatches requests to backend servers."""
--- a/ramptray/entry/backend_directory.py
+++ b/ramptray/entry/backend_directory.py
@@ -1,4 +1,4 @@
-"""What an entry believes of the backend servers and the zones around it."""
+"""The backend servers of the bundle, and which of them can be reached."""
 
 from __future__ import annotations
 
@@ -13,41 +13,43 @@
 
 
 class BackendDirectory:
-    """Joins the bundle in force with what was found out of reach.
+    """Combines the bundle in force with the reachability of its servers.
 
     Attributes:
         in_force: The bundle in force, if any.
-        on_silent_zone: Called with the addresses of the backend servers of a
-            zone that has perhaps been cut off: idle connections to them may
-            take a request and never say a word.
-        on_new_run: Called with a backend server that has started again, and
-            its run.
+        on_unreachable_zone: Called with the addresses of the backend servers of
+            a zone that may be partitioned off: idle connections to them might
+            accept a request and never respond.
+        on_backend_restart: Called with a backend server that has restarted,
+            and its new run.
     """
 
     def __init__(self) -> None:
         self.in_force: acceptance.InForce | None = None
-        self.on_unreachable_zone: Callable[[list[str]], None] = _do_nothing
-        self.on_backend_restart: Callable[[str, int], None] = _ignore_run
+        self.on_unreachable_zone: Callable[[list[str]], None] = (
+            _ignore_addresses
+        )
+        self.on_backend_restart: Callable[[str, int], None] = _ignore_restart
         self._first_in_force = anyio.Event()
         self._reachability = reachability.Reachability()
-        self._has_silent = anyio.Event()
+        self._has_unreachable_zone = anyio.Event()
         self._zones: dict[str, str] = {}
         self._vm_zones: set[str] = set()
 
     def apply_bundle(self, in_force: acceptance.InForce) -> None:
-        """Works by this bundle from now on."""
+        """Replaces the bundle in force."""
         former = self.in_force
         self.in_force = in_force
         if former:
-            self._take_new_runs(former.bundle, in_force.bundle)
+            self._handle_restarts(former.bundle, in_force.bundle)
         self._first_in_force.set()
         self._zones = {
             name: server.availability_zone or server.zone
             for name, server in in_force.bundle.backend_servers.items()
         }
 
-    def _take_new_runs(self, former: model.Bundle, new: model.Bundle) -> None:
-        """Forgets what was believed of backend servers that started again."""
+    def _handle_restarts(self, former: model.Bundle, new: model.Bundle) -> None:
+        """Removes the reachability state of restarted backend servers."""
         for name, server in new.backend_servers.items():
             before = former.backend_servers.get(name)
             if before is not None and before.run != server.run:
@@ -55,11 +57,10 @@
                 self.on_backend_restart(name, server.run)
 
     def get_granted_url(self, grant: message.Grant) -> str | None:
-        """Returns where a granted backend server listens.
+        """Returns the URL of a granted backend server; None if it is leaving.
 
-        One that this VM does not know, or of which it knows an earlier run
-        only, is taken from the owner's word: the owner may hear sooner.  None
-        where it is leaving.
+        If this VM's bundle lacks the server or has an earlier run of it, the
+        URL comes from the grant: the owner may have a newer configuration.
         """
         if self.in_force is None:
             return None
@@ -69,16 +70,16 @@
         return None if server.leaving else server.url
 
     async def wait_for_bundle(
-        self, longest_s: float
+        self, timeout_s: float
     ) -> acceptance.InForce | None:
-        """Returns the bundle in force, waiting a little for the first one."""
+        """Returns the bundle in force; waits briefly for the first one."""
         if self.in_force is None:
-            with anyio.move_on_after(longest_s):
+            with anyio.move_on_after(timeout_s):
                 await self._first_in_force.wait()
         return self.in_force
 
     def find_url(self, backend: str) -> str | None:
-        """Returns where a backend server of the bundle listens."""
+        """Returns the URL of a backend server of the bundle."""
         if self.in_force is None:
             return None
         server = self.in_force.bundle.backend_servers.get(backend)
@@ -86,43 +87,44 @@
 
     @property
     def reachable_share(self) -> float:
-        """Part of the backend servers' places in zones that are not silent."""
+        """Share of the backend servers' slots in zones that can be reached."""
         if self.in_force is None:
             return 1.0
-        silent = self._reachability.list_suspect_zones()
+        suspect = self._reachability.list_suspect_zones()
         bundle = self.in_force.bundle
-        places = [
+        slots = [
             (self._zones[name], bundle.engines[server.engine].max_running)
             for name, server in bundle.backend_servers.items()
             if not server.leaving
         ]
-        reached = sum(count for zone, count in places if zone not in silent)
-        return reached / max(1, sum(count for _, count in places))
+        reachable = sum(count for zone, count in slots if zone not in suspect)
+        return reachable / max(1, sum(count for _, count in slots))
 
     def list_unreachable(self, now: float) -> tuple[str, ...]:
-        """Returns the backend servers that are not to be tried now."""
+        """Returns the backend servers that must not be tried now."""
         return self._reachability.list_unreachable(self._zones, now)
 
     def record_connect_failure(self, backend: str | None, now: float) -> None:
-        """Notes that a connection to a backend server could not be opened."""
+        """Records that a connection to a backend server could not be opened."""
         if backend is None:
             return
         zone = self._zones.get(backend, "")
         if self._reachability.record_connect_failure(backend, zone, now):
-            self._has_silent.set()
+            self._has_unreachable_zone.set()
             self.reset_zone_connections(zone)
 
-    async def wait_silent(self) -> None:
-        """Waits until some zone is silent."""
+    async def wait_for_unreachable_zone(self) -> None:
+        """Waits until some zone is unreachable."""
         if not self._reachability.list_unreachable_zones():
-            self._has_silent = anyio.Event()
-            await self._has_silent.wait()
+            self._has_unreachable_zone = anyio.Event()
+            await self._has_unreachable_zone.wait()
 
     def list_probe_targets(self, turn: int) -> list[tuple[str, str]]:
-        """Returns a backend server of each silent zone, with its URL.
+        """Returns a backend server of each unreachable zone, with its URL.
 
         Args:
-            turn: Counts up, so that each of a zone has its turn.
+            turn: Number of the probe; the servers of a zone are probed
+                round-robin.
         """
         chosen = []
         for zone in sorted(self._reachability.list_unreachable_zones()):
@@ -133,21 +135,21 @@
         return chosen
 
     def record_answer(self, backend: str | None, now: float) -> None:
-        """Notes that a backend server has answered."""
+        """Records that a backend server has answered."""
         if backend is not None:
             zone = self._zones.get(backend, "")
             self._reachability.record_answer(backend, zone, now)
 
     def apply_view(self, view: peer_message.View) -> None:
-        """Distrusts the zones whose VMs are not heard any more."""
-        heard = {m.availability_zone for m in view.members} - {""}
-        for zone in self._vm_zones - heard:
+        """Suspects the zones that have no live VM in the view any more."""
+        live_zones = {m.availability_zone for m in view.members} - {""}
+        for zone in self._vm_zones - live_zones:
             self._reachability.record_lost_vms(zone)
             self.reset_zone_connections(zone)
-        self._vm_zones = heard
+        self._vm_zones = live_zones
 
     def reset_zone_connections(self, zone: str) -> None:
-        """Has connections opened anew to the backend servers of a zone."""
+        """Requests new connections to the backend servers of a zone."""
         if self.in_force is None:
             return
         self.on_unreachable_zone(
@@ -159,9 +161,9 @@
         )
 
 
-def _ignore_run(backend: str, run: int) -> None:
-    """Stands in until somebody listens."""
+def _ignore_restart(backend: str, run: int) -> None:
+    """Default of ``on_backend_restart``."""
 
 
-def _do_nothing(told: list[str]) -> None:
-    """Stands in until somebody listens."""
+def _ignore_addresses(addresses: list[str]) -> None:
+    """Default of ``on_unreachable_zone``."""
--- a/ramptray/entry/block_propagator.py
+++ b/ramptray/entry/block_propagator.py
@@ -1,4 +1,4 @@
-"""What an entry knows of blocked contents, and whom it tells."""
+"""Propagates content blocks between this VM and the schedulers it uses."""
 
 from __future__ import annotations
 
@@ -13,53 +13,61 @@
 
 
 class BlockPropagator:
-    """Passes blocks on between this VM's list and the schedulers it uses.
+    """Synchronizes this VM's blocklist with the schedulers it is attached to.
 
-    A scheduler tells each entry that attaches, and each entry tells each
-    scheduler that it attaches to: so a block outlives the owner that found it,
-    and reaches those that start, or come back from a cut, with their first
-    connection.
+    A scheduler sends its blocks to each entry that attaches, and each entry
+    sends its blocks to each scheduler that it attaches to.  A block therefore
+    outlives the owner that detected the content, and a process that starts or
+    reconnects after a network partition receives it on its first connection.
 
     Args:
         blocks: The blocks that this VM knows of.
-        tell: Sends a message to a scheduler, by its address.
-        list_links: Returns the schedulers that this entry is attached to.
+        send: Sends a message to a scheduler, by its address.
+        list_schedulers: Returns the addresses of the schedulers that this entry
+            is attached to.
     """
 
     def __init__(
         self,
         blocks: blocklist.Blocklist,
-        tell: Callable[[str, object], None],
-        list_links: Callable[[], Iterable[str]],
+        send: Callable[[str, object], None],
+        list_schedulers: Callable[[], Iterable[str]],
     ) -> None:
         self._blocks = blocks
-        self._tell = tell
-        self._list_links = list_links
-        blocks.on_change(self._spread)
+        self._send = send
+        self._list_schedulers = list_schedulers
+        blocks.on_change(self._broadcast)
 
     def get_remaining_s(self, content: str, now: float) -> float:
         """Returns for how many seconds a content stays blocked; 0 if not."""
         return self._blocks.get_remaining_s(content, now)
 
     def send_all(self, address: str, now: float) -> None:
-        """Tells a scheduler all that is known here."""
+        """Sends a scheduler all blocks that this VM knows of."""
         if len(self._blocks):
-            told = peer_message.BlockedContents(self._blocks.list_updates(now))
-            self._tell(address, told)
+            update = peer_message.BlockedContents(
+                self._blocks.list_updates(now)
+            )
+            self._send(address, update)
 
-    def merge(self, address: str, told: peer_message.BlockedContents) -> bool:
-        """Takes what a scheduler tells; tells whether any of it is new."""
-        new = self._blocks.merge(told.blocks, steadyclock.read())
+    def merge(self, address: str, update: peer_message.BlockedContents) -> bool:
+        """Merges blocks from a scheduler; returns whether any of them is new.
+
+        Args:
+            address: The scheduler.
+            update: The blocks that it has sent.
+        """
+        new = self._blocks.merge(update.blocks, steadyclock.read())
         log_merged_blocks(new, address)
         return bool(new)
 
-    def _spread(self, news: list[blocklist.BlockUpdate]) -> None:
-        for address in self._list_links():
-            self._tell(address, peer_message.BlockedContents(news))
+    def _broadcast(self, updates: list[blocklist.BlockUpdate]) -> None:
+        for address in self._list_schedulers():
+            self._send(address, peer_message.BlockedContents(updates))
 
 
 def log_merged_blocks(new: list[blocklist.Block], address: str) -> None:
-    """Writes a line for each block that another process told of."""
+    """Logs a line for each block that another process has sent."""
     for block in new:
         LOG.warning(
             "block lifted" if block.lifted else "content blocked",
--- a/ramptray/entry/claims.py
+++ b/ramptray/entry/claims.py
@@ -1,4 +1,4 @@
-"""An entry's words to the schedulers that keep claims on idempotency keys."""
+"""Sends claims on idempotency keys to the schedulers that record them."""
 
 from __future__ import annotations
 
@@ -14,49 +14,51 @@
 class ClaimSender:
     """Sends claims to the owner of the key's partition.
 
-    What is said while no owner is known is dropped: claims that are pending are
-    sent again with the next view.
+    Messages are dropped while no owner is known: the dispatcher sends pending
+    claims again with the next membership view.
 
     Args:
         zone: The entry's own zone.
-        known: Chooses the owner.
-        tell: Sends a message to an address.
+        owner_selector: Chooses the owner.
+        send: Sends a message to a scheduler, by its address.
     """
 
     def __init__(
         self,
         zone: str,
-        known: owners.OwnerSelector,
-        tell: Callable[[str, object], None],
+        owner_selector: owners.OwnerSelector,
+        send: Callable[[str, object], None],
     ) -> None:
         self._zone = zone
-        self._owners = known
-        self._tell = tell
+        self._owners = owner_selector
+        self._send = send
 
     def send(self, ticket: tickets.Ticket) -> None:
-        """Claims the request's key for it."""
+        """Claims the request's idempotency key."""
         assert ticket.claim_request is not None
-        wish = ticket.claim_request
+        claim_request = ticket.claim_request
         attempt = ticket.info.request_id
-        body = peer_message.ClaimKey(wish.key, attempt, wish.digest)
-        self._tell_owner(wish.key, body)
+        body = peer_message.ClaimKey(
+            claim_request.key, attempt, claim_request.digest
+        )
+        self._send_to_owner(claim_request.key, body)
 
     def release(self, ticket: tickets.Ticket) -> None:
-        """Says that the request will never be dispatched."""
+        """Releases the key of a request that will never be dispatched."""
         assert ticket.claim_request is not None
         key = ticket.claim_request.key
         body = peer_message.ReleaseKey(key, ticket.info.request_id)
-        self._tell_owner(key, body)
+        self._send_to_owner(key, body)
 
     def finish(self, ticket: tickets.Ticket, status: int) -> None:
-        """Says that the request's answer was whole."""
+        """Marks the key of a completely answered request as finished."""
         assert ticket.claim_request is not None
         key = ticket.claim_request.key
         body = peer_message.FinishKey(key, ticket.info.request_id, status)
-        self._tell_owner(key, body)
+        self._send_to_owner(key, body)
 
-    def _tell_owner(self, key: str, body: object) -> None:
+    def _send_to_owner(self, key: str, body: object) -> None:
         shard: message.ShardKey = claim.get_partition_shard(self._zone, key)
         owner = self._owners.find_owner(shard, steadyclock.read())
         if owner is not None:
-            self._tell(owner, body)
+            self._send(owner, body)
--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -1,8 +1,8 @@
-"""The task that owns all request machines of an entry.
+"""Owns the state machines of all requests of an entry.
 
-It is the only one that talks to schedulers.  An exchange (the task that serves
-one request) hands it events and receives effects; neither touches the other's
-state.
+The dispatcher is the only part of an entry that communicates with schedulers.
+An exchange (the task that serves one request) sends it events and receives
+effects; neither modifies the other's state.
 """
 
 from __future__ import annotations
@@ -35,45 +35,46 @@
 
 TICK_INTERVAL_S = 0.05
 RETRY_AFTER_S = 1.0
-"""Retry-After of a VM that finds no scheduler to ask, in seconds."""
+"""Retry-After of requests that the entry itself rejects, in seconds, such as
+those for which it finds no scheduler."""
 
 ATTEMPT_RETRY_AFTER_S = 0.05
-"""When to come back after the last attempt of a request has failed, in seconds:
-the owner knows of the failure by then and decides anew, or says itself how long
-its queue takes.  A longer pause makes answers late while many servers turn
-requests away."""
+"""Retry-After of a request whose last attempt has failed, in seconds.  By then
+the owner has learned of the failure and can place the request elsewhere, or
+reject it with the expected wait in its queue.  A longer value delays responses
+past their objective while many servers refuse requests."""
 
 
 class DispatcherSettings(Protocol):
-    """Where an entry stands; settings of any program that has one.
+    """Settings that a program with an entry has to provide.
 
     Attributes:
-        vm: Name of its VM.
-        zone: The zone whose schedulers it asks.
-        scheduler: Address of the scheduler on its VM.
+        vm: Name of the entry's VM.
+        zone: The zone whose schedulers the entry uses.
+        scheduler: Address of the scheduler on the entry's VM.
     """
 
     @property
     def vm(self) -> str:
-        """Name of its VM."""
+        """Name of the entry's VM."""
 
     @property
     def zone(self) -> str:
-        """The zone whose schedulers it asks."""
+        """The zone whose schedulers the entry uses."""
 
     @property
     def scheduler(self) -> str:
-        """Address of the scheduler on its VM."""
+        """Address of the scheduler on the entry's VM."""
 
 
 class Dispatcher:
     """Owns the request machines and the links to schedulers.
 
     Attributes:
-        backends: State of the backend servers as this entry knows it, by the
-            bundle in force.
-        timeline: Where events are noted.
-        server_hints: What backend servers say of themselves in answers.
+        backends: The backend servers of the bundle in force and their
+            reachability.
+        timeline: Receives the events of requests.
+        server_hints: Hints that backend servers give in their responses.
         on_silent_owner: Called with the address of a scheduler that does not
             reply.
     """
@@ -81,19 +82,19 @@
     def __init__(
         self,
         settings: DispatcherSettings,
-        equipment: runtime.Runtime,
+        process_runtime: runtime.Runtime,
         budget: retry.RetryBudget | None = None,
         shares_limits: bool = False,
         blocks: blocklist.Blocklist | None = None,
         longest_pause_s: float = server_hints.MAX_PAUSE_S,
     ) -> None:
         self.backends = backend_directory.BackendDirectory()
-        self.timeline = equipment.timeline
-        self._name = equipment.name
+        self.timeline = process_runtime.timeline
+        self._name = process_runtime.name
         self._vm = settings.vm
         self._zone = settings.zone
-        self._local = settings.scheduler
-        self._client = equipment.client
+        self._local_scheduler = settings.scheduler
+        self._client = process_runtime.client
         self._mailbox = mailbox.Mailbox(
             lambda event: self._handle(event, steadyclock.read())
         )
@@ -112,14 +113,14 @@
         )
         self.server_hints = server_hints.ServerHintStore(
             self._send_any,
-            lambda: [*self._links, self._local],
+            lambda: [*self._links, self._local_scheduler],
             longest_pause_s,
         )
         self._budget = budget or retry.RetryBudget()
-        self.on_silent_owner: Callable[[str], None] = _do_nothing
+        self.on_silent_owner: Callable[[str], None] = _ignore_owner
         self._learner = acceptance.Learner()
         self._has_work = anyio.Event()
-        self._tasks: anyio.abc.TaskGroup | None = None
+        self._task_group: anyio.abc.TaskGroup | None = None
         self._lag = lag.TickLag(TICK_INTERVAL_S)
 
     @property
@@ -129,7 +130,7 @@
 
     @property
     def request_count(self) -> int:
-        """How many requests have not ended."""
+        """Number of requests that have not ended."""
         return len(self._tickets)
 
     def may_retry(self, ticket: tickets.Ticket) -> bool:
@@ -143,25 +144,27 @@
         )
 
     def submit(
-        self, info: message.RequestInfo, wish: tickets.ClaimRequest | None
+        self,
+        info: message.RequestInfo,
+        claim_request: tickets.ClaimRequest | None,
     ) -> tickets.Ticket:
-        """Takes a new request; its effects arrive on the ticket."""
-        ticket = tickets.Ticket(info, wish, self._mailbox.post)
+        """Submits a new request; its effects arrive on the returned ticket."""
+        ticket = tickets.Ticket(info, claim_request, self._mailbox.post)
         ticket.report(tickets.Submitted(ticket))
         return ticket
 
     async def run(self) -> None:
         """Handles events until cancelled."""
         async with anyio.create_task_group() as tasks:
-            self._tasks = tasks
-            self._get_link(self._local)
+            self._task_group = tasks
+            self._get_link(self._local_scheduler)
             tasks.start_soon(self._run_ticks)
             await self._mailbox.run()
 
     async def _run_ticks(self) -> None:
         while True:
             if not self._tickets:
-                # An idle entry is not woken: there may be many on a machine.
+                # Avoids wake-ups while idle: one machine may run many entries.
                 self._has_work = anyio.Event()
                 await self._has_work.wait()
             await anyio.sleep(TICK_INTERVAL_S)
@@ -170,13 +173,13 @@
     def _handle(self, event: tickets.Event, now: float) -> None:
         match event:
             case tickets.Submitted(ticket):
-                self._begin(ticket, now)
+                self._start_request(ticket, now)
             case attachment.LinkOpened(address):
-                self._sync(address, now)
+                self._resync(address, now)
             case attachment.LinkClosed(address):
-                self._lose_link(address, now)
+                self._handle_link_closed(address, now)
             case attachment.MessageReceived(address, body):
-                self._receive(address, body, now)
+                self._handle_message(address, body, now)
             case _:
                 self._handle_exchange(event, now)
 
@@ -190,7 +193,7 @@
                 if not refused:
                     self.backends.record_connect_failure(machine.backend, now)
                 machine.info = self._get_info(ticket, now)
-                self._perform(ticket, machine.fail_connect(refused), now)
+                self._apply_effects(ticket, machine.fail_connect(refused), now)
             case tickets.GrantUnusable(_, reason):
                 self._return_grant(ticket, reason, now)
             case tickets.FirstTokenReceived(first):
@@ -205,20 +208,22 @@
             case tickets.Completed(ended, status):
                 if ticket.claim_request:
                     self._claims.finish(ticket, status)
-                self._perform(ticket, machine.complete(ended), now)
+                self._apply_effects(ticket, machine.complete(ended), now)
             case tickets.Refused(ended):
-                self._perform(ticket, machine.end_refused(ended), now)
+                self._apply_effects(ticket, machine.end_refused(ended), now)
             case tickets.AttemptFailed():
                 self._end_attempt(ticket, event, now)
             case tickets.AnswerLost(ended, reason):
-                self._perform(ticket, machine.end_unknown(reason, ended), now)
+                self._apply_effects(
+                    ticket, machine.end_unknown(reason, ended), now
+                )
             case tickets.CallerDisconnected(ended):
-                self._perform(ticket, machine.cancel(ended), now)
+                self._apply_effects(ticket, machine.cancel(ended), now)
 
     def _get_info(
         self, ticket: tickets.Ticket, now: float
     ) -> message.RequestInfo:
-        """Returns a request's facts as they are now."""
+        """Returns a request's info with its remaining times and exclusions."""
         return ticket.get_info(now, self.backends.list_unreachable(now))
 
     def _return_grant(
@@ -227,7 +232,7 @@
         reason: server_hints.UnusableReason,
         now: float,
     ) -> None:
-        """Returns a grant whose server wants nothing from this VM."""
+        """Returns a grant whose server accepts no requests from this VM."""
         machine = ticket.machine
         backend = machine.backend
         machine.info = self._get_info(ticket, now)
@@ -235,7 +240,8 @@
         if backend is None or not effects:
             return
         if machine.owner:
-            # Ahead of the returned grant: else it would be granted again.
+            # Sent before the grant is returned; otherwise the owner would grant
+            # the same server again.
             self.server_hints.send_one(machine.owner, backend, now)
         self.timeline.note(
             "grant_returned",
@@ -244,20 +250,20 @@
             owner=machine.owner,
             reason=reason.value,
         )
-        self._perform(ticket, effects, now)
+        self._apply_effects(ticket, effects, now)
 
     def _end_attempt(
         self, ticket: tickets.Ticket, event: tickets.AttemptFailed, now: float
     ) -> None:
-        """Lets a request go on elsewhere, as far as the budget allows it."""
+        """Retries a request elsewhere if its limits and the budget allow it."""
         info = ticket.machine.info
-        wanted = (
+        may_run_again = (
             now < ticket.deadline
             and (event.not_run or info.repeatable)
             and not self._block_propagator.get_remaining_s(info.content, now)
         )
-        may_repeat = (
-            wanted
+        may_retry = (
+            may_run_again
             and ticket.machine.dispatches < info.max_attempts
             and self._budget.try_take(info.shard.service, now)
         )
@@ -267,7 +273,7 @@
         backend = ticket.machine.backend
         ticket.machine.info = self._get_info(ticket, now)
         effects = ticket.machine.fail_attempt(
-            event.ended, event.not_run, may_repeat, finish
+            event.ended, event.not_run, may_retry, finish
         )
         self.timeline.note(
             "attempt_failed",
@@ -276,13 +282,13 @@
             attempts=ticket.machine.dispatches,
             not_run=event.not_run,
             reason=event.reason.value,
-            repeated=may_repeat,
+            repeated=may_retry,
             content=info.content or None,
             **(msgspec.to_builtins(event.fault) if event.fault else {}),
         )
-        self._perform(ticket, effects, now)
+        self._apply_effects(ticket, effects, now)
 
-    def _begin(self, ticket: tickets.Ticket, now: float) -> None:
+    def _start_request(self, ticket: tickets.Ticket, now: float) -> None:
         info = ticket.info
         self._tickets[info.request_id] = ticket
         self._has_work.set()
@@ -299,21 +305,26 @@
             content=info.content or None,
             generation=self.in_force.generation if self.in_force else None,
         )
-        if left_s := self._block_propagator.get_remaining_s(info.content, now):
-            self._refuse_blocked(ticket, left_s, now)
+        if remaining_s := self._block_propagator.get_remaining_s(
+            info.content, now
+        ):
+            self._reject_blocked(ticket, remaining_s, now)
             return
         if ticket.claim_request:
             self._claims.send(ticket)
         self._assign(ticket, now)
 
-    def _refuse_blocked(
-        self, ticket: tickets.Ticket, left_s: float, now: float
+    def _reject_blocked(
+        self, ticket: tickets.Ticket, remaining_s: float, now: float
     ) -> None:
-        effects = ticket.machine.reject(message.Reason.BLOCKED, left_s)
-        self._perform(ticket, effects, now)
+        effects = ticket.machine.reject(message.Reason.BLOCKED, remaining_s)
+        self._apply_effects(ticket, effects, now)
 
     def _assign(self, ticket: tickets.Ticket, now: float) -> None:
-        """Finds the request's owner and asks it, or notes there is none."""
+        """Finds the request's owner and sends it the request.
+
+        Records since when there is no owner if none is found.
+        """
         shard = ticket.machine.info.shard
         if shard.zone != self._zone and not self._owners.is_zone_reachable(
             shard.zone
@@ -331,13 +342,13 @@
         if owner == ticket.machine.owner:
             return
         dispatched = ticket.dispatched_at
-        elapsed = now - dispatched if dispatched is not None else 0.0
+        running_s = now - dispatched if dispatched is not None else 0.0
         effects = ticket.machine.assign(
-            owner, self._get_info(ticket, now), elapsed
+            owner, self._get_info(ticket, now), running_s
         )
-        self._perform(ticket, effects, now)
+        self._apply_effects(ticket, effects, now)
 
-    def _perform(
+    def _apply_effects(
         self,
         ticket: tickets.Ticket,
         effects: Iterable[request.Effect],
@@ -375,54 +386,54 @@
                 case request.Release():
                     self._claims.release(ticket)
                 case request.Cancel():
-                    pass  # The exchange cancels the stream it owns.
+                    pass  # The exchange cancels its own stream.
 
-    def _decide_claim(
+    def _handle_claim_decision(
         self, decision: peer_message.ClaimDecision, now: float
     ) -> None:
         ticket = self._tickets.get(decision.attempt)
         if ticket is None:
             return
-        verdict = claim.ClaimStatus(decision.verdict)
-        held = verdict is claim.ClaimStatus.HELD
-        finish = None if held else claim.make_finish(verdict)
+        status = claim.ClaimStatus(decision.verdict)
+        held = status is claim.ClaimStatus.HELD
+        finish = None if held else claim.make_finish(status)
         effects = ticket.machine.decide_claim(held, finish)
-        self._perform(ticket, effects, now)
+        self._apply_effects(ticket, effects, now)
 
-    # Schedulers.
+    # Messages from schedulers.
 
-    def _receive(self, address: str, body: object, now: float) -> None:
+    def _handle_message(self, address: str, body: object, now: float) -> None:
         self._owners.record_message(address, now)
         match body:
             case message.Grant(request_id):
-                self._note_answer(address, request_id, now)
-                self._take_grant(body, request_id, now)
+                self._record_reply(address, request_id, now)
+                self._handle_grant(body, request_id, now)
             case message.Reject(request_id):
-                self._note_answer(address, request_id, now)
+                self._record_reply(address, request_id, now)
                 if ticket := self._tickets.get(request_id):
                     effects = ticket.machine.receive_reject(body, address)
-                    self._perform(ticket, effects, now)
+                    self._apply_effects(ticket, effects, now)
             case message.Queued(request_id):
-                self._note_answer(address, request_id, now)
+                self._record_reply(address, request_id, now)
             case message.StillWaiting():
-                pass  # It only shows that the owner is alive.
+                pass  # A keep-alive message of the owner.
             case message.Redirect(request_id):
-                self._redirect(address, body, now)
+                self._handle_redirect(address, body, now)
             case peer_message.AskTimeline(after, subject, number):
                 events = self.timeline.list_events(after, subject)
                 answer = peer_message.TimelineEvents(events, number)
                 self._send_any(address, answer)
             case peer_message.ClaimDecision():
-                self._decide_claim(body, now)
+                self._handle_claim_decision(body, now)
             case peer_message.BlockedContents():
                 self._block_propagator.merge(address, body)
-            case peer_message.View() if address == self._local:
-                self._take_view(body, now)
+            case peer_message.View() if address == self._local_scheduler:
+                self._apply_view(body, now)
             case peer_message.BundleUpdate(envelope):
-                self._take_bundle(address, envelope)
+                self._apply_bundle(address, envelope)
 
-    def _note_answer(self, address: str, request_id: str, now: float) -> None:
-        """Takes the first reply of a scheduler on a request."""
+    def _record_reply(self, address: str, request_id: str, now: float) -> None:
+        """Records the response time of a scheduler's first reply."""
         ticket = self._tickets.get(request_id)
         if ticket is None or not ticket.awaiting_reply:
             return
@@ -430,7 +441,7 @@
             ticket.awaiting_reply = False
             self._owners.record_reply(address, now - ticket.enqueued_at)
 
-    def _take_grant(
+    def _handle_grant(
         self, grant: message.Grant, request_id: str, now: float
     ) -> None:
         ticket = self._tickets.get(request_id)
@@ -438,14 +449,14 @@
             decline = message.Decline(request_id, grant.grant_id)
             self._send(grant.owner, decline)
             return
-        self._perform(ticket, ticket.machine.receive_grant(grant), now)
-        if grant.speed is not None and grant.owner != self._local:
+        self._apply_effects(ticket, ticket.machine.receive_grant(grant), now)
+        if grant.speed is not None and grant.owner != self._local_scheduler:
             learned = message.SpeedLearned(
                 grant.backend, grant.speed, grant.run
             )
-            self._send(self._local, learned)
+            self._send(self._local_scheduler, learned)
 
-    def _redirect(
+    def _handle_redirect(
         self, address: str, redirect: message.Redirect, now: float
     ) -> None:
         ticket = self._tickets.get(redirect.request_id)
@@ -461,12 +472,12 @@
         )
         self.timeline.note("redirect", info.request_id, zone=redirect.zone)
         effects = ticket.machine.assign(redirect.owner, info)
-        self._perform(ticket, effects, now)
+        self._apply_effects(ticket, effects, now)
 
-    def _take_view(self, view: peer_message.View, now: float) -> None:
+    def _apply_view(self, view: peer_message.View, now: float) -> None:
         known = self._owners.apply_view(view)
         self.backends.apply_view(view)
-        for address in set(self._links) - known - {self._local}:
+        for address in set(self._links) - known - {self._local_scheduler}:
             self._links.pop(address).stop()
             self._owners.remove(address)
         self._open_owner_links(now)
@@ -475,8 +486,8 @@
     def _open_owner_links(self, now: float) -> None:
         """Opens the links to owners before the first request needs them.
 
-        Else all entries would attach in the same moment, and take the owner
-        for lost while it attaches the others.
+        Otherwise all entries would attach to an owner at the same moment, and
+        its replies would time out while it attaches the others.
         """
         if self.in_force is None:
             return
@@ -487,7 +498,7 @@
                 if owner is not None:
                     self._open_link(owner)
 
-    def _take_bundle(self, address: str, envelope: signature.Envelope) -> None:
+    def _apply_bundle(self, address: str, envelope: signature.Envelope) -> None:
         if self._learner.learn(envelope):
             assert self._learner.in_force is not None
             self.backends.apply_bundle(self._learner.in_force)
@@ -498,7 +509,7 @@
             report = peer_message.InForceReport(self.in_force.generation)
             self._send_any(address, report)
 
-    # Links.
+    # Links to schedulers.
 
     def _send(self, owner: str, sent: message.EntryMessage) -> None:
         self._send_any(owner, sent)
@@ -518,11 +529,11 @@
             address, hello, self._client, self._mailbox.post
         )
         self._links[address] = owner_link
-        assert self._tasks is not None
-        self._tasks.start_soon(owner_link.run)
+        assert self._task_group is not None
+        self._task_group.start_soon(owner_link.run)
 
-    def _sync(self, address: str, now: float) -> None:
-        """Sends a scheduler all that waits or runs with it."""
+    def _resync(self, address: str, now: float) -> None:
+        """Sends a scheduler its requests, the blocks and the server hints."""
         self._owners.mark_up(address)
         self._block_propagator.send_all(address, now)
         self.server_hints.send_all(address, now)
@@ -541,16 +552,17 @@
         effects = ticket.machine.assign(
             owner, self._get_info(ticket, now), now - since if since else 0.0
         )
-        self._perform(ticket, effects, now)
+        self._apply_effects(ticket, effects, now)
 
-    def _lose_link(self, address: str, now: float) -> None:
+    def _handle_link_closed(self, address: str, now: float) -> None:
         self._owners.mark_down(address)
         self._reassign_all(now)
 
     def _reassign_all(self, now: float) -> None:
         for ticket in list(self._tickets.values()):
             owner = ticket.machine.owner
-            # A request sent on to another zone stays there while it can.
+            # A request redirected to another zone stays there while the link to
+            # its owner is open.
             spilled = bool(ticket.machine.info.spilled_from)
             if spilled and owner and not self._owners.is_down(owner):
                 continue
@@ -559,8 +571,8 @@
             if ticket.machine.claim is request.Claim.PENDING:
                 self._claims.send(ticket)
 
-    def _suspect_silent_owners(self, now: float) -> None:
-        """Moves waiting requests away from owners that do not reply."""
+    def _back_off_silent_owners(self, now: float) -> None:
+        """Reassigns the waiting requests of owners that do not reply."""
         silent = {
             ticket.machine.owner
             for ticket in self._tickets.values()
@@ -570,29 +582,30 @@
                 ticket, self._owners, ticket.machine.owner, now
             )
         }
-        doubted = [
+        backed_off = [
             owner
             for owner in silent
             if owner is not None and self._owners.back_off(owner, now)
         ]
-        for owner in doubted:
+        for owner in backed_off:
             self.on_silent_owner(owner)
-            # Its whole zone may be cut off; opening a connection shows it.
+            # Its whole zone may be partitioned off; new connections to the
+            # backend servers there will show it.
             zone = self._owners.get_availability_zone(owner)
             self.backends.reset_zone_connections(zone)
-        if doubted:
+        if backed_off:
             self._reassign_all(now)
 
     def tick(self, now: float) -> None:
-        """Ends the requests that cannot or may not be served any more."""
+        """Backs off silent owners and rejects requests that timed out."""
         if not self._lag.observe(now):
-            self._suspect_silent_owners(now)
+            self._back_off_silent_owners(now)
         for ticket in list(self._tickets.values()):
             reason = timeouts.find_timeout_reason(ticket, now)
             if reason is not None:
                 effects = ticket.machine.reject(reason, RETRY_AFTER_S)
-                self._perform(ticket, effects, now)
+                self._apply_effects(ticket, effects, now)
 
 
-def _do_nothing(address: str) -> None:
-    """Default of callbacks."""
+def _ignore_owner(address: str) -> None:
+    """Default of ``on_silent_owner``."""
--- a/ramptray/entry/exchange.py
+++ b/ramptray/entry/exchange.py
@@ -1,7 +1,7 @@
-"""The task that serves one model request: one dispatch, one stream.
+"""Serves one model request with one dispatch and one response stream.
 
-It owns the connection to the backend server.  When the connection breaks it
-resumes the same stream; it never sends the request a second time.
+The exchange owns the connection to the backend server.  When the connection
+breaks, it resumes the same stream; it never sends the request a second time.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from ramptray.entry import ticket as tickets
 
 RESUME_TIMEOUT_S = 8.0
-"""How long a broken stream is tried to be resumed, in seconds."""
+"""How long an exchange tries to resume a broken stream, in seconds."""
 
 RESUME_INTERVAL_S = 0.2
 SERVER_ERROR = 500
 UNAVAILABLE = 503
 BUFFER_EVENTS = 256
-"""Events that may wait for a slow caller."""
+"""Number of events that are buffered for a slow caller."""
 
 
 class StreamEndedError(Exception):
@@ -48,11 +48,11 @@
 
 
 class ModelCall(msgspec.Struct, frozen=True):
-    """What is sent to the engine.
+    """The HTTP request that is sent to the engine.
 
     Attributes:
-        path: Path of the engine's interface.
-        body: The request's body, already asking for a stream.
+        path: Path of the engine's endpoint.
+        body: The request's body, which already asks for a stream.
     """
 
     path: str
@@ -60,7 +60,7 @@
 
 
 class Exchange:
-    """Serves one model request from grant to last event."""
+    """Serves one model request from its grant to its last event."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         self._url: str | None = None
 
     def cancel(self) -> None:
-        """Ends the exchange because the caller has gone."""
+        """Cancels the exchange because the caller has disconnected."""
         self._scope.cancel()
 
     async def run(self) -> None:
@@ -97,13 +97,13 @@
             async with self._send:
                 async for effect in self._ticket.effects:
                     if isinstance(effect, request.Finish):
-                        await self._put(effect)
+                        await self._send_item(effect)
                         return
                     await self._dispatch(effect.grant)
         if self._scope.cancelled_caught:
-            await self._leave()
+            await self._cancel_request()
 
-    async def _leave(self) -> None:
+    async def _cancel_request(self) -> None:
         self._ticket.report(tickets.CallerDisconnected(self._make_ended(False)))
         if self._url is None:
             return
@@ -128,7 +128,7 @@
                 self._call.body,
                 grant.version,
             ) as events:
-                await self._pass_on(events)
+                await self._forward(events)
         except engine_client.NotSentError:
             self._url = None
             self._ticket.report(tickets.ConnectFailed(self.request_id))
@@ -138,66 +138,66 @@
             await self._resume(url)
 
     def _end_refused(self, status: int) -> None:
-        """Ends a request that was not answered by a stream.
+        """Ends a request whose response was an error status.
 
-        Only an answer that says so is taken for "not admitted"; an engine that
-        failed may have begun.
+        Only a client error or 503 means that the engine did not admit the
+        request; with other server errors it may have started it.
         """
         if status < SERVER_ERROR or status == UNAVAILABLE:
             self._ticket.report(tickets.Refused(self._make_ended(False)))
         else:
-            self._lose(message.Reason.BACKEND_LOST)
+            self._report_lost(message.Reason.BACKEND_LOST)
 
     async def _resume(self, url: str) -> None:
-        """Reads the stream on, as long as the engine can be reached at all.
+        """Resumes the stream as long as the engine can be reached.
 
-        An engine with a long queue is silent for long; a request that waits
-        there is not lost before its deadline.
+        A request may wait in an engine's queue without any event for a long
+        time, so a stream that was resumed is kept until the request's deadline.
         """
-        gives_up_at = steadyclock.read() + RESUME_TIMEOUT_S
-        while steadyclock.read() < gives_up_at:
+        resume_until = steadyclock.read() + RESUME_TIMEOUT_S
+        while steadyclock.read() < resume_until:
             try:
                 async with self._client.resume(
                     url, self.request_id, self._position
                 ) as events:
-                    gives_up_at = max(gives_up_at, self._ticket.deadline)
-                    await self._pass_on(events)
+                    resume_until = max(resume_until, self._ticket.deadline)
+                    await self._forward(events)
                     return
             except engine_client.GoneError:
-                self._lose(message.Reason.BACKEND_LOST)
+                self._report_lost(message.Reason.BACKEND_LOST)
                 return
             except engine_client.NotSentError:
-                gives_up_at = min(
-                    gives_up_at, steadyclock.read() + RESUME_TIMEOUT_S
+                resume_until = min(
+                    resume_until, steadyclock.read() + RESUME_TIMEOUT_S
                 )
                 await anyio.sleep(RESUME_INTERVAL_S)
             except (engine_client.EngineError, StreamEndedError):
                 await anyio.sleep(RESUME_INTERVAL_S)
-        self._lose(message.Reason.STREAM_BROKEN)
+        self._report_lost(message.Reason.STREAM_BROKEN)
 
-    def _lose(self, reason: message.Reason) -> None:
+    def _report_lost(self, reason: message.Reason) -> None:
         ended = self._make_ended(False, certain=False)
         self._ticket.report(tickets.AnswerLost(ended, reason))
 
-    async def _pass_on(self, events: AsyncIterator[event.Event]) -> None:
-        async for found in events:
-            if found.number != self._position + 1:
-                continue  # Repeated by a resume.
-            self._position = found.number
-            if found.is_end:
+    async def _forward(self, events: AsyncIterator[event.Event]) -> None:
+        async for received in events:
+            if received.number != self._position + 1:
+                continue  # A duplicate after a resume.
+            self._position = received.number
+            if received.is_end:
                 ended = self._make_ended(True)
                 self._ticket.report(tickets.Completed(ended, 200))
                 return
-            self._note(found)
-            await self._put(found)
+            self._count_token(received)
+            await self._send_item(received)
         raise StreamEndedError
 
-    def _note(self, found: event.Event) -> None:
+    def _count_token(self, received: event.Event) -> None:
         self._tokens += 1
         if self._first_at is not None:
             return
         self._first_at = steadyclock.read()
-        usage = _read_usage(found.data)
+        usage = _read_usage(received.data)
         cached = usage.prompt_tokens_details.get("cached_tokens", 0)
         first = message.FirstToken(
             self.request_id,
@@ -207,8 +207,8 @@
         )
         self._ticket.report(tickets.FirstTokenReceived(first))
 
-    async def _put(self, item: Item) -> None:
-        """Hands an item to the caller; one that does not read is dropped."""
+    async def _send_item(self, item: Item) -> None:
+        """Sends an item to the caller; cancels if it is read too slowly."""
         try:
             with anyio.fail_after(self._idle_write_s):
                 await self._send.send(item)
@@ -217,9 +217,11 @@
             await anyio.lowlevel.checkpoint()
 
     def _make_ended(self, whole: bool, certain: bool = True) -> message.Ended:
-        began = self._first_at
-        decode_s = steadyclock.read() - began if began is not None else 0.0
-        # The last chunk carries the reason of the end and no token.
+        first_at = self._first_at
+        decode_s = (
+            steadyclock.read() - first_at if first_at is not None else 0.0
+        )
+        # The last chunk carries the finish reason and no token.
         tokens = max(0, self._tokens - 1) if whole else self._tokens
         return message.Ended(self.request_id, tokens, decode_s, whole, certain)
 
--- a/ramptray/entry/lag.py
+++ b/ramptray/entry/lag.py
@@ -1,4 +1,4 @@
-"""How late this process comes to its own ticks."""
+"""Measures how late this process runs its periodic tick."""
 
 from __future__ import annotations
 
@@ -6,53 +6,57 @@
 
 from ramptray.core import message
 
-AWAY_S = 1.0
-"""Ticks further apart than this, in seconds, were not due in between."""
+MAX_TICK_DELAY_S = 1.0
+"""A longer delay than this, in seconds, is no lag: no tick was due in between,
+as the entry was idle."""
 
-LAG_WEIGHT = 0.2
-"""Weight of the newest tick in how late this process usually is."""
+SMOOTHING_FACTOR = 0.2
+"""Weight of the newest tick in the moving average of the lag."""
 
-LEAST_TAKEN_PART = 0.2
-"""Least part of the time to a first token that its engine has taken, whatever
-this process adds to it."""
+MIN_ENGINE_SHARE = 0.2
+"""Minimum share of the time to first token that is attributed to the engine,
+however large the lag of this process is."""
 
-LATE_TICKS = 3
-"""So many ticks in a row may be late before owners are doubted all the same."""
+MAX_LATE_TICKS = 3
+"""Number of consecutive late ticks after which silent owners are suspected
+nevertheless."""
 
 
 class TickLag:
-    """Smoothed lateness of a periodic tick.
+    """Moving average of the delay of a periodic tick.
 
     Args:
-        period_s: Time between two ticks, in seconds.
+        interval_s: Time between two ticks, in seconds.
     """
 
-    def __init__(self, period_s: float) -> None:
-        self._period_s = period_s
+    def __init__(self, interval_s: float) -> None:
+        self._interval_s = interval_s
         self._ticked_at = 0.0
         self._late_ticks = 0
         self._lag_s = 0.0
 
     def observe(self, now: float) -> bool:
-        """Takes a tick; returns whether unread messages may wait.
+        """Records a tick; returns whether received messages may be unread.
 
-        Load pattern: a VM short of processor time comes late to its own ticks.
-        Owners that have answered meanwhile are not lost.
+        Load pattern: a VM is short of CPU time and runs its ticks late.  An
+        owner may have replied in the meantime, so its silence is no evidence of
+        a failure.
         """
-        late_s = now - self._ticked_at - self._period_s
-        if late_s < AWAY_S:
-            self._lag_s += LAG_WEIGHT * (max(0.0, late_s) - self._lag_s)
+        delay_s = now - self._ticked_at - self._interval_s
+        if delay_s < MAX_TICK_DELAY_S:
+            self._lag_s += SMOOTHING_FACTOR * (max(0.0, delay_s) - self._lag_s)
         self._ticked_at = now
-        is_late = self._period_s < late_s < AWAY_S
+        is_late = self._interval_s < delay_s < MAX_TICK_DELAY_S
         self._late_ticks = self._late_ticks + 1 if is_late else 0
-        return 0 < self._late_ticks <= LATE_TICKS
+        return 0 < self._late_ticks <= MAX_LATE_TICKS
 
     def exclude(self, first: message.FirstToken) -> message.FirstToken:
-        """Returns a first token's time without what this process adds to it.
+        """Returns a first token's time without the lag of this process.
 
-        Load pattern: VMs short of processor time read answers late.  With that
-        in them all engines would look slow, to the other VMs too.
+        Load pattern: VMs short of CPU time read responses late.  If that delay
+        were included, all engines would look slow, and the other VMs would
+        learn these times too.
         """
-        least_s = LEAST_TAKEN_PART * first.elapsed_s
-        taken_s = max(least_s, first.elapsed_s - self._lag_s)
-        return msgspec.structs.replace(first, elapsed_s=taken_s)
+        min_s = MIN_ENGINE_SHARE * first.elapsed_s
+        engine_s = max(min_s, first.elapsed_s - self._lag_s)
+        return msgspec.structs.replace(first, elapsed_s=engine_s)
--- a/ramptray/entry/main.py
+++ b/ramptray/entry/main.py
@@ -1,4 +1,4 @@
-"""``ramptray-entry``: callers' requests and their dispatch on one VM."""
+"""``ramptray-entry``: accepts and dispatches callers' requests on one VM."""
 
 from __future__ import annotations
 
@@ -17,40 +17,41 @@
 LOG = logging.getLogger(__name__)
 
 LAME_DUCK_S = 1.0
-"""How long a stopping entry says it is not ready before it stops listening."""
+"""How long a stopping entry reports that it is not ready before it closes its
+listening socket, in seconds."""
 
 
 async def main(settings: EntrySettings, stop: process.Stop) -> None:
-    """Serves until a stop is asked for and what runs has ended."""
-    equipment = runtime.make_runtime("entry", settings)
-    desk = dispatcher.Dispatcher(settings, equipment)
+    """Serves until a stop is requested and running requests have ended."""
+    process_runtime = runtime.make_runtime("entry", settings)
+    entry_dispatcher = dispatcher.Dispatcher(settings, process_runtime)
     listener = webserver.bind(settings.listen)
     async with anyio.create_task_group() as tasks:
-        served = caller_app.CallerApp(
+        app = caller_app.CallerApp(
             settings,
-            desk,
+            entry_dispatcher,
             engine_client.EngineClient(),
             service_client.ServiceClient(),
             metrics.Metrics(),
             tasks,
         )
         server = webserver.make_server(
-            admission.Admission(served.make_app(), settings.limits.requests),
+            admission.Admission(app.make_app(), settings.limits.requests),
             settings.limits.header_bytes,
         )
-        tasks.start_soon(desk.run)
+        tasks.start_soon(entry_dispatcher.run)
         async with anyio.create_task_group() as serving:
             serving.start_soon(server.serve, [listener])
             LOG.info("listening", extra={"address": settings.listen})
             await stop.event.wait()
-            served.stopping = True
+            app.stopping = True
             await anyio.sleep(LAME_DUCK_S)
             server.should_exit = True
             serving.cancel_scope.deadline = (
                 anyio.current_time() + settings.drain_s
             )
-        LOG.info("drained", extra={"left": desk.request_count})
-        await equipment.client.close()
+        LOG.info("drained", extra={"left": entry_dispatcher.request_count})
+        await process_runtime.client.close()
         tasks.cancel_scope.cancel()
 
 
--- a/ramptray/entry/owners.py
+++ b/ramptray/entry/owners.py
@@ -1,4 +1,4 @@
-"""Which scheduler an entry asks: live ones, reachable ones, silent ones."""
+"""Selects the scheduler that an entry sends a shard's requests to."""
 
 from __future__ import annotations
 
@@ -13,36 +13,35 @@
 LOG = logging.getLogger(__name__)
 
 FIRST_BACKOFF_S = 1.0
-"""How long a silent scheduler is not asked, in seconds: about the time in which
-the membership finds a dead one."""
+"""How long a silent scheduler is avoided at first, in seconds: about the time
+in which the membership detects a failed one."""
 
 MAX_BACKOFF_S = 8.0
-"""How long a scheduler that stays silent is not asked at most, in seconds."""
-
+"""Longest time for which a silent scheduler is avoided, in seconds."""
 
 MIN_REPLY_TIMEOUT_S = 0.12
-"""How long a scheduler may leave a new request without a word at least, in
-seconds: a round trip and its work take a few milliseconds, a first token some
-hundred."""
+"""Lower bound of the timeout for a scheduler's first reply on a request, in
+seconds.  A round trip and the decision take a few milliseconds, a first token a
+few hundred."""
 
 MAX_REPLY_TIMEOUT_S = 1.0
-"""The same at most, in seconds, where it has been answering late: by then the
-membership has found out whether it is lost."""
+"""Upper bound of this timeout, in seconds, for schedulers that reply late.  By
+then the membership has detected whether the scheduler has failed."""
 
 
-class _Doubt(msgspec.Struct, frozen=True):
-    """Why a scheduler is not asked for a while."""
+class _Backoff(msgspec.Struct, frozen=True):
+    """Until when a silent scheduler is avoided, and for how long in all."""
 
     until: float
     length_s: float
 
 
 class OwnerSelector:
-    """Chooses the owner of a shard from what is known of the schedulers.
+    """Chooses a shard's owner among the live, reachable schedulers.
 
     Args:
         zone: The entry's own zone.
-        local: Address of the scheduler on the same VM; it is never doubted.
+        local: Address of the scheduler on the same VM; it is never backed off.
         shares_limits: See ``ShardKey.get_owner_key``.
     """
 
@@ -55,86 +54,86 @@
         self._local = local
         self._members: dict[str, membership.Member] = {}
         self._down: set[str] = set()
-        self._heard: dict[str, float] = {}
-        self._doubts: dict[str, _Doubt] = {}
-        self._rtts: dict[str, rtt.RttEstimator] = {}
-        # Picked among hundreds for each request, an owner would cost more than
-        # the messages to it.
-        self._picked: dict[tuple[str, str], str | None] = {}
+        self._last_message_at: dict[str, float] = {}
+        self._backoffs: dict[str, _Backoff] = {}
+        self._reply_times: dict[str, rtt.RttEstimator] = {}
+        # Cache: with hundreds of schedulers, picking the owner anew for each
+        # request would cost more than the messages to it.
+        self._picked_owners: dict[tuple[str, str], str | None] = {}
 
     def apply_view(self, view: peer_message.View) -> frozenset[str]:
-        """Takes a new view and returns the addresses in it."""
+        """Applies a new membership view and returns the addresses in it."""
         self._members = {m.vm: m for m in view.members}
         self.remote_members = view.others
-        self._picked.clear()
+        self._picked_owners.clear()
         return frozenset(m.address for m in (*view.members, *view.others))
 
     def mark_down(self, address: str) -> None:
-        """Notes that the link to a scheduler is broken."""
+        """Records that the link to a scheduler is broken."""
         self._down.add(address)
-        self._picked.clear()
+        self._picked_owners.clear()
 
     def mark_up(self, address: str) -> None:
-        """Notes that the link to a scheduler is open."""
+        """Records that the link to a scheduler is open."""
         self._down.discard(address)
-        self._picked.clear()
+        self._picked_owners.clear()
 
     def remove(self, address: str) -> None:
-        """Forgets a scheduler that is in no view any more."""
+        """Removes the state of a scheduler that has left the view."""
         self._down.discard(address)
-        self._picked.clear()
-        self._heard.pop(address, None)
-        self._doubts.pop(address, None)
-        self._rtts.pop(address, None)
+        self._picked_owners.clear()
+        self._last_message_at.pop(address, None)
+        self._backoffs.pop(address, None)
+        self._reply_times.pop(address, None)
 
     def is_down(self, address: str) -> bool:
         """Returns whether the link to a scheduler is broken."""
         return address in self._down
 
     def record_message(self, address: str, now: float) -> None:
-        """Notes that a message of a scheduler has come."""
-        self._heard[address] = now
-        if self._doubts.pop(address, None):
+        """Records that a scheduler has sent a message; ends its backoff."""
+        self._last_message_at[address] = now
+        if self._backoffs.pop(address, None):
             LOG.info("owner replies again", extra={"owner": address})
 
     def record_reply(self, address: str, delay_s: float) -> None:
-        """Observes how long a scheduler took for its first reply."""
-        if address not in self._rtts:
-            self._rtts[address] = rtt.RttEstimator(
+        """Records how long a scheduler took for its first reply."""
+        if address not in self._reply_times:
+            self._reply_times[address] = rtt.RttEstimator(
                 MIN_REPLY_TIMEOUT_S, MAX_REPLY_TIMEOUT_S
             )
-        self._rtts[address].observe(delay_s)
+        self._reply_times[address].observe(delay_s)
 
     def get_reply_timeout_s(self, address: str) -> float:
-        """Returns after how many seconds a scheduler's answer is missing."""
-        known = self._rtts.get(address)
+        """Returns a scheduler's reply timeout in seconds."""
+        known = self._reply_times.get(address)
         return known.timeout_s if known else MIN_REPLY_TIMEOUT_S
 
     def get_silence_s(self, address: str, since: float, now: float) -> float:
-        """Returns for how long a scheduler has said nothing, in seconds.
+        """Returns for how long a scheduler has been silent, in seconds.
 
         Args:
             address: The scheduler.
-            since: When it was asked something that it has to answer.
+            since: When it was sent a message that it has to reply to.
             now: The entry's clock.
         """
-        return now - max(since, self._heard.get(address, 0.0))
+        return now - max(since, self._last_message_at.get(address, 0.0))
 
     def back_off(self, address: str, now: float) -> bool:
-        """Asks a silent scheduler no more for a while; longer each time.
+        """Avoids a silent scheduler for a while, twice as long each time.
 
         Returns:
-            Whether it was asked until now.
+            Whether a new backoff has begun.
         """
-        if address == self._local or self._is_doubted(address, now):
+        if address == self._local or self._is_backed_off(address, now):
             return False
-        former = self._doubts.get(address)
+        former = self._backoffs.get(address)
         length_s = (
             min(former.length_s * 2, MAX_BACKOFF_S)
             if former
             else FIRST_BACKOFF_S
         )
-        self._doubts[address] = _Doubt(now + length_s, length_s)
+        self._backoffs[address] = _Backoff(now + length_s, length_s)
         LOG.warning(
             "owner is silent",
             extra={"owner": address, "not_asked_for_s": length_s},
@@ -142,7 +141,7 @@
         return True
 
     def get_availability_zone(self, address: str) -> str:
-        """Returns where a scheduler stands; empty where that is unknown."""
+        """Returns a scheduler's availability zone; empty if it is unknown."""
         return next(
             (
                 m.availability_zone
@@ -160,46 +159,47 @@
         )
 
     def find_owner(self, shard: message.ShardKey, now: float) -> str | None:
-        """Returns the address of the scheduler to ask for a shard.
+        """Returns the address of the scheduler to use for a shard.
 
-        While the owner is silent one of the same availability zone stands in,
-        the same for all VMs there; or else the one of the same VM, which knows
-        less of the others' load, but answers at once.
+        While the owner is silent, the fallback is a scheduler of this VM's
+        availability zone, the same one for all VMs of the zone.  If there is
+        none, it is the scheduler on this VM, which knows less about the load
+        caused by the other VMs but replies at once.
         """
-        owner = self._pick_first(shard)
-        if owner is not None and not self._is_doubted(owner, now):
+        owner = self._pick_owner(shard)
+        if owner is not None and not self._is_backed_off(owner, now):
             return owner
         zone = self.get_availability_zone(self._local)
         near = [
             m
             for m in self._members.values()
             if m.availability_zone == zone
-            and not self._is_doubted(m.address, now)
+            and not self._is_backed_off(m.address, now)
         ]
-        if zone and (stand_in := self._pick(shard, near)):
-            return stand_in
-        # Also while the last scheduler of a deployment leaves.
+        if zone and (fallback := self._pick_among(shard, near)):
+            return fallback
+        # Also applies while the last scheduler of a deployment leaves.
         return None if self._local in self._down else self._local
 
-    def _pick_first(self, shard: message.ShardKey) -> str | None:
-        """Returns the owner in its own zone, or else in the others."""
+    def _pick_owner(self, shard: message.ShardKey) -> str | None:
+        """Returns the owner in the shard's zone, or else in another zone."""
         key = (shard.zone, shard.get_owner_key(self._shares_limits))
-        if key not in self._picked:
+        if key not in self._picked_owners:
             found = (
-                self._pick(shard, members)
+                self._pick_among(shard, members)
                 for members in (
                     [m for m in self._members.values() if m.zone == shard.zone],
                     [m for m in self.remote_members if m.zone == shard.zone],
                     self.remote_members,
                 )
             )
-            self._picked[key] = next(filter(None, found), None)
-        return self._picked[key]
+            self._picked_owners[key] = next(filter(None, found), None)
+        return self._picked_owners[key]
 
-    def _pick(
+    def _pick_among(
         self, shard: message.ShardKey, members: Iterable[membership.Member]
     ) -> str | None:
-        """Returns the address of the owner among these members."""
+        """Returns the address of the shard's owner among these members."""
         usable = {
             m.vm: m.address
             for m in membership.list_strongest(
@@ -210,6 +210,6 @@
         owner = membership.pick_owner(name, list(usable))
         return None if owner is None else usable[owner]
 
-    def _is_doubted(self, address: str, now: float) -> bool:
-        doubt = self._doubts.get(address)
-        return doubt is not None and now < doubt.until
+    def _is_backed_off(self, address: str, now: float) -> bool:
+        backoff = self._backoffs.get(address)
+        return backoff is not None and now < backoff.until
--- a/ramptray/entry/prober.py
+++ b/ramptray/entry/prober.py
@@ -1,4 +1,4 @@
-"""Finds out when a silent availability zone can be reached again."""
+"""Detects when an unreachable availability zone can be reached again."""
 
 from __future__ import annotations
 
@@ -11,31 +11,33 @@
 from ramptray.entry import backend_directory
 
 PROBE_INTERVAL_S = 0.25
-"""How often a silent zone is probed, in seconds: less than the shortest usual
-objective, and one connection each time."""
+"""How often an unreachable zone is probed, in seconds: below the shortest usual
+latency objective, at the cost of one connection per zone and probe."""
 
 Probe = Callable[[str], Awaitable[bool]]
 
 
 class Prober:
-    """Opens connections into silent zones until one succeeds.
+    """Opens connections into unreachable zones until one succeeds.
 
     Args:
-        backends: What the entry believes of the zones.
-        probe: Returns whether there is a way to a backend server, by its URL.
+        backends: The backend servers and the zones that cannot be reached.
+        probe: Returns whether a backend server can be reached, by its URL.
     """
 
     def __init__(
-        self, backends: backend_directory.BackendDirectory, probe: Probe
+        self,
+        backends: backend_directory.BackendDirectory,
+        probe: Probe,
     ) -> None:
         self._backends = backends
         self._probe = probe
 
     async def run(self) -> None:
-        """Probes until cancelled; sleeps while no zone is silent."""
+        """Probes until cancelled; sleeps while all zones are reachable."""
         async with anyio.create_task_group() as tasks:
             for turn in itertools.count():
-                await self._backends.wait_silent()
+                await self._backends.wait_for_unreachable_zone()
                 for backend, url in self._backends.list_probe_targets(turn):
                     tasks.start_soon(self._probe_one, backend, url)
                 await anyio.sleep(PROBE_INTERVAL_S)
--- a/ramptray/entry/reachability.py
+++ b/ramptray/entry/reachability.py
@@ -1,9 +1,10 @@
-"""Which backend servers this VM cannot reach at present.
+"""Tracks which backend servers this VM cannot reach.
 
-A cut says nothing: connections to what is behind it just hang.  So one silent
-backend server makes its whole availability zone silent, unless another one has
-answered there just now.  A silent zone is avoided until a probe of it succeeds
-(``prober``): a request that tried it would lose much of its objective.
+A network partition gives no error: connections across it just hang.  A single
+backend server that does not respond therefore marks its whole availability zone
+as unreachable, unless another server of the zone has answered just before.  An
+unreachable zone is avoided until a probe of it succeeds (``prober``): a request
+that tried it would lose much of its latency objective.
 """
 
 from __future__ import annotations
@@ -16,101 +17,108 @@
 LOG = logging.getLogger(__name__)
 
 FIRST_BACKOFF_S = 0.5
-"""How long a silent backend server alone is avoided first, in seconds."""
+"""How long a single unreachable backend server is avoided after its first
+failure, in seconds."""
 
 MAX_BACKOFF_S = 2.0
-"""How long it is avoided at most before it is tried again, in seconds: a try
-costs one request the time to open a connection."""
+"""Longest time for which it is avoided before the next attempt, in seconds.  An
+attempt costs one request the time to open a connection."""
 
 ANSWER_VALIDITY_S = 0.5
-"""An answer this recent shows that its zone can be reached, in seconds."""
+"""How long an answer proves that its zone can be reached, in seconds."""
 
 
-class _Pause(msgspec.Struct, frozen=True):
+class _Backoff(msgspec.Struct, frozen=True):
     until: float
     length_s: float
 
 
 class Reachability:
-    """Remembers silent backend servers and zones; a plain object."""
+    """Tracks unreachable backend servers and zones; performs no I/O."""
 
     def __init__(self) -> None:
-        self._servers: dict[str, _Pause] = {}
-        self._zones: set[str] = set()
-        self._doubted: set[str] = set()
-        self._answered: dict[str, float] = {}
+        self._backoffs: dict[str, _Backoff] = {}
+        self._unreachable_zones: set[str] = set()
+        self._lost_zones: set[str] = set()
+        self._answered_at: dict[str, float] = {}
 
     def record_connect_failure(
         self, backend: str, zone: str, now: float
     ) -> bool:
-        """Notes that a connection to a backend server could not be opened.
+        """Records that a connection to a backend server could not be opened.
 
         Returns:
-            Whether its whole zone is taken for silent from now on.
+            Whether this has marked the server's whole zone as unreachable.
         """
-        self._servers[backend] = _lengthen(self._servers.get(backend), now)
-        if now - self._answered.get(zone, float("-inf")) < ANSWER_VALIDITY_S:
+        self._backoffs[backend] = _make_next_backoff(
+            self._backoffs.get(backend), now
+        )
+        if now - self._answered_at.get(zone, float("-inf")) < ANSWER_VALIDITY_S:
             return False
-        if zone in self._zones:
+        if zone in self._unreachable_zones:
             return False
-        self._zones.add(zone)
+        self._unreachable_zones.add(zone)
         LOG.warning(
             "zone is silent", extra={"silent_zone": zone, "backend": backend}
         )
         return True
 
     def record_lost_vms(self, zone: str) -> None:
-        """Notes that no VM of a zone is heard any more.
+        """Records that the membership lists no VM of a zone any more.
 
-        They may be down, or cut off together with the backend servers there,
-        which are still tried.
+        The VMs may be down, or partitioned off together with the zone's backend
+        servers.  These are still tried.
         """
-        self._doubted.add(zone)
+        self._lost_zones.add(zone)
         LOG.warning("no VM of a zone is heard", extra={"doubted_zone": zone})
 
     def record_answer(self, backend: str, zone: str, now: float) -> None:
-        """Notes that a backend server has answered."""
-        self._answered[zone] = now
-        self._servers.pop(backend, None)
-        self._doubted.discard(zone)
-        if zone in self._zones:
-            self._zones.remove(zone)
+        """Records that a backend server has answered."""
+        self._answered_at[zone] = now
+        self._backoffs.pop(backend, None)
+        self._lost_zones.discard(zone)
+        if zone in self._unreachable_zones:
+            self._unreachable_zones.remove(zone)
             LOG.info("zone answers again", extra={"silent_zone": zone})
 
     def remove(self, backend: str) -> None:
-        """Forgets the silence of a backend server that has started again."""
-        self._servers.pop(backend, None)
+        """Removes the backoff of a backend server that has restarted."""
+        self._backoffs.pop(backend, None)
 
     def list_unreachable_zones(self) -> frozenset[str]:
         """Returns the zones that are avoided until a probe succeeds."""
-        return frozenset(self._zones)
+        return frozenset(self._unreachable_zones)
 
     def list_suspect_zones(self) -> frozenset[str]:
-        """Returns the zones that have not answered since they were lost."""
-        return frozenset(self._zones | self._doubted)
+        """Returns the zones that are unreachable or whose VMs are lost."""
+        return frozenset(self._unreachable_zones | self._lost_zones)
 
     def list_unreachable(
         self, zones: Mapping[str, str], now: float
     ) -> tuple[str, ...]:
-        """Returns the backend servers that are not to be tried now.
+        """Returns the backend servers that must not be tried now.
 
         Args:
             zones: Availability zone of each backend server.
             now: The entry's clock.
         """
-        if not self._servers and not self._zones:
+        if not self._backoffs and not self._unreachable_zones:
             return ()
-        servers = {n for n, pause in self._servers.items() if pause.until > now}
+        servers = {
+            name
+            for name, backoff in self._backoffs.items()
+            if backoff.until > now
+        }
         return tuple(
             name
             for name, zone in zones.items()
-            if name in servers or zone in self._zones
+            if name in servers or zone in self._unreachable_zones
         )
 
 
-def _lengthen(former: _Pause | None, now: float) -> _Pause:
-    """Returns the next pause, longer than one that has just ended."""
+def _make_next_backoff(former: _Backoff | None, now: float) -> _Backoff:
+    """Returns the next backoff, twice as long if the former ended recently."""
     length_s = FIRST_BACKOFF_S
     if former is not None and now - former.until < MAX_BACKOFF_S:
         length_s = min(former.length_s * 2, MAX_BACKOFF_S)
-    return _Pause(now + length_s, length_s)
+    return _Backoff(now + length_s, length_s)
--- a/ramptray/entry/server_hints.py
+++ b/ramptray/entry/server_hints.py
@@ -1,7 +1,7 @@
-"""Hints of backend servers: what they say of themselves in their answers.
+"""Hints that backend servers give about themselves in response headers.
 
-Hints are sent to a scheduler ahead of the next request on the same link, so
-that no request is granted there without them.
+Hints are sent to a scheduler before the next request on the same link, so the
+scheduler always applies them when it grants that request.
 """
 
 from __future__ import annotations
@@ -17,31 +17,32 @@
 LOG = logging.getLogger(__name__)
 
 MAX_PAUSE_S = 600.0
-"""Longest pause that is kept where the settings name no other, in seconds."""
+"""Default of the longest pause that is applied, in seconds."""
 
 LEAVING_RETENTION_S = 600.0
-"""How long a leaving backend server is remembered after it has gone from the
-configuration, in seconds: an older copy of the store may bring it back."""
+"""How long the hint of a leaving backend server is kept after the server was
+removed from the configuration, in seconds.  An older copy of the store may list
+it again."""
 
 
 class UnusableReason(enum.Enum):
-    """Why nothing may be sent to a backend server now."""
+    """Why no request may be sent to a backend server now."""
 
     LEAVING = "leaving"
     PAUSED = "paused"
 
 
 class HeadReceived(msgspec.Struct, frozen=True):
-    """The head of a backend server's answer has arrived.
+    """The head of a backend server's response has arrived.
 
     Attributes:
         request_id: The request.
         backend: The backend server.
         run: Which of its runs, see ``message.Grant``.
-        limit_per_s: The request limit that it names; None for none.
-        is_leaving: Whether it says that it is leaving.
-        pause_s: Seconds for which it wants nothing from this VM; None where it
-            does not say.
+        limit_per_s: The request limit in the response; None for none.
+        is_leaving: Whether the server reports that it is leaving.
+        pause_s: Seconds for which the server asks this VM to send no requests;
+            None if it does not ask.
         owner: Address of the scheduler that granted the attempt.
         granted_limit_per_s: The request limit that this scheduler applied.
     """
@@ -57,14 +58,15 @@
 
 
 class _Hints(msgspec.Struct):
-    """What a backend server has said in one of its runs.
+    """Hints that a backend server has given in one of its runs.
 
     Attributes:
         run: The run.
         limit_per_s: Its request limit; None for none.
-        is_leaving: Whether it is leaving; final for the run.
+        is_leaving: Whether it is leaving; never reset within a run.
         paused_until: When its pause ends, on the entry's clock.
-        last_listed_at: When it was last seen in the configuration, likewise.
+        last_listed_at: When the configuration last listed it, on the same
+            clock.
     """
 
     run: int
@@ -74,7 +76,7 @@
     last_listed_at: float = 0.0
 
     def is_needed(self, now: float) -> bool:
-        """Returns whether it still says anything."""
+        """Returns whether any of the hints still applies."""
         return (
             self.limit_per_s is not None
             or self.is_leaving
@@ -82,117 +84,128 @@
         )
 
     def outlasts_record(self, now: float) -> bool:
-        """Returns whether it binds while the configuration lacks the server.
+        """Returns whether the hints outlive the server's configuration record.
 
-        The server's record may lapse or come back in an older copy.
+        The record may expire, or return with an older copy of the store.
         """
-        lately = now - self.last_listed_at < LEAVING_RETENTION_S
-        return self.paused_until > now or (self.is_leaving and lately)
+        is_retained = now - self.last_listed_at < LEAVING_RETENTION_S
+        return self.paused_until > now or (self.is_leaving and is_retained)
 
 
 class ServerHintStore:
-    """Keeps the hints of each backend server and passes them on.
+    """Stores the hints of each backend server and sends them to schedulers.
 
     Args:
         send: Sends a message to a scheduler, by its address.
-        list_links: Returns the schedulers that this entry is attached to.
-        longest_pause_s: Longest pause that is kept, in seconds.
+        list_schedulers: Returns the addresses of the schedulers that this entry
+            is attached to.
+        longest_pause_s: Longer pauses are cut to this, in seconds.
     """
 
     def __init__(
         self,
         send: Callable[[str, message.ServerHints], None],
-        list_links: Callable[[], Iterable[str]],
+        list_schedulers: Callable[[], Iterable[str]],
         longest_pause_s: float = MAX_PAUSE_S,
     ) -> None:
-        self._known: dict[str, _Hints] = {}
+        self._hints: dict[str, _Hints] = {}
         self._send = send
-        self._list_links = list_links
+        self._list_schedulers = list_schedulers
         self._longest_pause_s = longest_pause_s
 
     def count_limited(self) -> int:
-        """Returns how many backend servers name a request limit."""
-        return sum(k.limit_per_s is not None for k in self._known.values())
+        """Returns how many backend servers have set a request limit."""
+        return sum(
+            hints.limit_per_s is not None for hints in self._hints.values()
+        )
 
     def count_leaving(self) -> int:
-        """Returns how many backend servers have said that they are leaving."""
-        return sum(known.is_leaving for known in self._known.values())
+        """Returns how many backend servers have reported that they leave."""
+        return sum(hints.is_leaving for hints in self._hints.values())
 
     def count_paused(self, now: float) -> int:
         """Returns how many backend servers have asked for a pause."""
-        return sum(known.paused_until > now for known in self._known.values())
+        return sum(hints.paused_until > now for hints in self._hints.values())
 
     def observe(self, received: HeadReceived, now: float) -> None:
-        """Takes what an answer says of its backend server."""
-        known = self._get(received.backend, received.run)
-        known.last_listed_at = now
+        """Applies the hints of a response and sends changes to schedulers."""
+        hints = self._get(received.backend, received.run)
+        hints.last_listed_at = now
         changed = [
-            self._take_limit(known, received),
-            self._take_leaving(known, received),
-            self._take_pause(known, received, now),
+            self._apply_limit(hints, received),
+            self._apply_leaving(hints, received),
+            self._apply_pause(hints, received, now),
         ]
-        if known.is_needed(now):
-            self._known[received.backend] = known
+        if hints.is_needed(now):
+            self._hints[received.backend] = hints
         else:
-            self._known.pop(received.backend, None)
-        hints = _make_message(received.backend, known, now)
+            self._hints.pop(received.backend, None)
+        body = _make_message(received.backend, hints, now)
         if any(changed):
-            for address in set(self._list_links()):
-                self._send(address, hints)
-        elif known.limit_per_s != received.granted_limit_per_s:
-            # The owner missed it, or an older answer reached it last.
-            self._send(received.owner, hints)
+            for address in set(self._list_schedulers()):
+                self._send(address, body)
+        elif hints.limit_per_s != received.granted_limit_per_s:
+            # The owner missed the limit, or received that of an older response
+            # last.
+            self._send(received.owner, body)
 
     def find_unusable_reason(
         self, backend: str, run: int, now: float
     ) -> UnusableReason | None:
-        """Returns why nothing may be sent to a backend server; None if it may.
+        """Returns why no request may be sent to a server; None if one may.
 
         Args:
             backend: The backend server.
             run: Which of its runs.
             now: The entry's clock.
         """
-        known = self._known.get(backend)
-        if known is None or known.run != run:
+        hints = self._hints.get(backend)
+        if hints is None or hints.run != run:
             return None
-        if known.is_leaving:
+        if hints.is_leaving:
             return UnusableReason.LEAVING
-        return UnusableReason.PAUSED if known.paused_until > now else None
+        return UnusableReason.PAUSED if hints.paused_until > now else None
 
     def send_one(self, address: str, backend: str, now: float) -> None:
-        """Sends a scheduler what is known here of a backend server."""
-        if known := self._known.get(backend):
-            self._send(address, _make_message(backend, known, now))
+        """Sends a scheduler the hints of a backend server, if there are any."""
+        if hints := self._hints.get(backend):
+            self._send(address, _make_message(backend, hints, now))
 
     def send_all(self, address: str, now: float) -> None:
-        """Sends a scheduler all hints that are known here."""
-        for backend in self._known:
+        """Sends a scheduler the hints of all backend servers."""
+        for backend in self._hints:
             self.send_one(address, backend, now)
 
     def discard_except(self, backends: Iterable[str], now: float) -> None:
-        """Drops the hints of all other backend servers."""
-        if not self._known:
+        """Discards hints of servers that are no longer configured.
+
+        Hints that outlast the server's configuration record are kept.
+
+        Args:
+            backends: The backend servers of the configuration.
+            now: The entry's clock.
+        """
+        if not self._hints:
             return
         listed = set(backends)
-        for backend, known in list(self._known.items()):
+        for backend, hints in list(self._hints.items()):
             if backend in listed:
-                known.last_listed_at = now
-            elif not known.outlasts_record(now):
-                del self._known[backend]
+                hints.last_listed_at = now
+            elif not hints.outlasts_record(now):
+                del self._hints[backend]
 
     def _get(self, backend: str, run: int) -> _Hints:
-        known = self._known.get(backend)
-        if known is None or known.run != run:
+        hints = self._hints.get(backend)
+        if hints is None or hints.run != run:
             return _Hints(run)
-        return known
+        return hints
 
-    def _take_limit(self, known: _Hints, received: HeadReceived) -> bool:
-        """Takes the request limit; returns whether it has changed."""
-        former_per_s = known.limit_per_s
+    def _apply_limit(self, hints: _Hints, received: HeadReceived) -> bool:
+        """Applies the request limit; returns whether it has changed."""
+        former_per_s = hints.limit_per_s
         if received.limit_per_s == former_per_s:
             return False
-        known.limit_per_s = received.limit_per_s
+        hints.limit_per_s = received.limit_per_s
         _log(
             "server limit changed",
             received,
@@ -201,25 +214,25 @@
         )
         return True
 
-    def _take_leaving(self, known: _Hints, received: HeadReceived) -> bool:
-        """Takes that it is leaving; returns whether that is new."""
-        if known.is_leaving or not received.is_leaving:
+    def _apply_leaving(self, hints: _Hints, received: HeadReceived) -> bool:
+        """Applies that the server is leaving; returns whether that is new."""
+        if hints.is_leaving or not received.is_leaving:
             return False
-        known.is_leaving = True
+        hints.is_leaving = True
         _log("server is leaving", received)
         return True
 
-    def _take_pause(
-        self, known: _Hints, received: HeadReceived, now: float
+    def _apply_pause(
+        self, hints: _Hints, received: HeadReceived, now: float
     ) -> bool:
-        """Takes the pause that it asks for; returns whether it ends later."""
+        """Applies a requested pause; returns whether it ends later."""
         if not received.pause_s:
             return False
         pause_s = min(received.pause_s, self._longest_pause_s)
-        if now + pause_s <= known.paused_until:
+        if now + pause_s <= hints.paused_until:
             return False
-        left_s = max(0.0, known.paused_until - now)
-        known.paused_until = now + pause_s
+        left_s = max(0.0, hints.paused_until - now)
+        hints.paused_until = now + pause_s
         _log(
             "server asks for a pause",
             received,
@@ -231,14 +244,14 @@
 
 
 def _make_message(
-    backend: str, known: _Hints, now: float
+    backend: str, hints: _Hints, now: float
 ) -> message.ServerHints:
     return message.ServerHints(
         backend,
-        known.run,
-        known.limit_per_s,
-        known.is_leaving,
-        max(0.0, known.paused_until - now),
+        hints.run,
+        hints.limit_per_s,
+        hints.is_leaving,
+        max(0.0, hints.paused_until - now),
     )
 
 
--- a/ramptray/entry/ticket.py
+++ b/ramptray/entry/ticket.py
@@ -1,4 +1,4 @@
-"""What passes between the dispatcher and the exchange of one request."""
+"""Events and effects between the dispatcher and the exchange of a request."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ClaimRequest(msgspec.Struct, frozen=True):
-    """What is claimed for a request that may not be repeated.
+    """The claim that a request with an idempotency key has to obtain.
 
     Attributes:
         key: Digest of customer, service and idempotency key.
@@ -27,17 +27,18 @@
 
 
 class Submitted(msgspec.Struct, frozen=True):
-    """A new request."""
+    """A new request has been submitted."""
 
     ticket: Ticket
 
 
 class ConnectFailed(msgspec.Struct, frozen=True):
-    """There was no connection to the backend server; nothing was sent.
+    """No connection to the backend server could be opened; nothing was sent.
 
     Attributes:
         request_id: The request.
-        refused: Whether it refused the connection; else it did not answer.
+        refused: Whether the server refused the connection; otherwise it did not
+            respond.
     """
 
     request_id: str
@@ -45,11 +46,11 @@
 
 
 class GrantUnusable(msgspec.Struct, frozen=True):
-    """The request may not be sent where it was granted to; nothing was sent.
+    """The granted backend server accepts no requests now; nothing was sent.
 
     Attributes:
         request_id: The request.
-        reason: What the backend server has said.
+        reason: Why the server accepts none.
     """
 
     request_id: str
@@ -63,11 +64,11 @@
 
 
 class Completed(msgspec.Struct, frozen=True):
-    """The whole answer has arrived.
+    """The complete response has arrived.
 
     Attributes:
         ended: Sent to the owner.
-        status: HTTP status of the answer.
+        status: HTTP status of the response.
     """
 
     ended: message.Ended
@@ -75,20 +76,20 @@
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """The backend server says that it did not admit the request."""
+    """The backend server reports that it did not admit the request."""
 
     ended: message.Ended
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """How an attempt broke.
+    """How an attempt failed; its fields are written to the timeline.
 
     Attributes:
-        detail: What the connection said.
-        presence: What a new connection to the backend server then said; empty
-            where none was tried.
+        detail: The connection's error.
+        presence: Result of a new connection to the backend server afterwards;
+            empty if none was tried.
         after_s: Seconds since the request was sent.
-        events: Events of its answer that had arrived.
+        events: Number of events of the response that had arrived.
     """
 
     detail: str
@@ -98,13 +99,14 @@
 
 
 class AttemptFailed(msgspec.Struct, frozen=True):
-    """An attempt has ended without an answer; another one may follow.
+    """An attempt has ended without a response; another one may follow.
 
     Attributes:
         ended: Sent to the owner.
-        not_run: Whether the backend server has said that it did not run.
-        reason: Sent to the caller where no attempt follows.
-        fault: What was seen of the fault, for the logs.
+        not_run: Whether the backend server has reported that it did not run the
+            request.
+        reason: Sent to the caller if no attempt follows.
+        fault: Details of the failure for the logs.
     """
 
     ended: message.Ended
@@ -114,14 +116,14 @@
 
 
 class AnswerLost(msgspec.Struct, frozen=True):
-    """The answer cannot be had any more."""
+    """The response is lost: neither a retry nor a resume can return it."""
 
     ended: message.Ended
     reason: message.Reason
 
 
 class CallerDisconnected(msgspec.Struct, frozen=True):
-    """The caller has gone."""
+    """The caller has closed its connection."""
 
     ended: message.Ended
 
@@ -144,17 +146,20 @@
 
 
 class Ticket:
-    """One request's connection between its exchange and the dispatcher."""
+    """State of one request, shared by its exchange and the dispatcher.
+
+    The exchange reports events on it and receives effects from it.
+    """
 
     def __init__(
         self,
         info: message.RequestInfo,
-        wish: ClaimRequest | None,
+        claim_request: ClaimRequest | None,
         report: Callable[[Event], None],
     ) -> None:
         self.info = info
-        self.claim_request = wish
-        self.machine = request.RequestMachine(info, wish is not None)
+        self.claim_request = claim_request
+        self.machine = request.RequestMachine(info, claim_request is not None)
         self.dispatched_at: float | None = None
         self.started_at = steadyclock.read()
         self.deadline = self.started_at + info.deadline_s
@@ -162,18 +167,19 @@
         self.enqueued_at = 0.0
         self.awaiting_reply = False
         self._report = report
-        # Dispatches that are refused by a backend server come back here, so
-        # an exchange sees at most a few effects; it never blocks the sender.
+        # A dispatch that a backend server refuses is followed by another one
+        # here.  An exchange receives only a few effects in all, and sending
+        # them never blocks the dispatcher.
         self._effects, self.effects = anyio.create_memory_object_stream[
             ExchangeEffect
         ](64)
 
     def report(self, event: Event) -> None:
-        """Hands an event to the dispatcher."""
+        """Sends an event to the dispatcher."""
         self._report(event)
 
     def send_effect(self, effect: ExchangeEffect) -> None:
-        """Hands an effect to the exchange."""
+        """Sends an effect to the exchange; dropped if it has ended."""
         with contextlib.suppress(
             anyio.BrokenResourceError,
             anyio.ClosedResourceError,
@@ -183,13 +189,13 @@
 
     @property
     def tried(self) -> tuple[str, ...]:
-        """Backend servers that have had the request."""
+        """Backend servers that the request has been sent to."""
         return self.machine.tried
 
     def get_info(
         self, now: float, silent: tuple[str, ...] = ()
     ) -> message.RequestInfo:
-        """Returns the request's facts with its times as of now.
+        """Returns the request's info with the times that remain now.
 
         Args:
             now: The entry's clock.
@@ -211,7 +217,7 @@
 
 
 def get_request_id(event: Event) -> str:
-    """Returns the request that an exchange's event is about."""
+    """Returns the request id of an exchange's event; empty if it has none."""
     match event:
         case ConnectFailed(request_id) | GrantUnusable(request_id):
             return request_id
--- a/ramptray/entry/timeouts.py
+++ b/ramptray/entry/timeouts.py
@@ -1,4 +1,4 @@
-"""How long an entry waits for schedulers before it gives a request up."""
+"""Timeouts of an entry's requests that wait for schedulers."""
 
 from __future__ import annotations
 
@@ -7,40 +7,44 @@
 from ramptray.entry import ticket as tickets
 
 NO_OWNER_TIMEOUT_S = 3.0
-"""How long a request waits for any scheduler before it is refused."""
+"""How long a request waits for any scheduler before it is rejected."""
 
 REFUSAL_GRACE_S = 0.12
-"""How long after its time a request is left to its owner, which should have
-refused it by then, in seconds."""
+"""How long after the end of its waiting time a request is still left to its
+owner, in seconds.  The owner should have rejected it by then."""
 
 QUEUE_SILENCE_TIMEOUT_S = 0.4
-"""How long a scheduler with waiting requests may be silent, in seconds: it says
-more than twice in that time that they still wait."""
+"""How long a scheduler with queued requests may be silent, in seconds.  It
+sends more than two keep-alive messages in this time."""
 
 
 def is_owner_silent(
-    ticket: tickets.Ticket, known: owners.OwnerSelector, owner: str, now: float
+    ticket: tickets.Ticket,
+    owner_selector: owners.OwnerSelector,
+    owner: str,
+    now: float,
 ) -> bool:
-    """Returns whether a request's owner has said nothing for too long.
+    """Returns whether a request's owner has been silent for too long.
 
-    A word on any request shows that it lives, though it may be busy.
+    A message about any request shows that the owner is alive, even if it is too
+    busy to decide on this one.
 
     Args:
         ticket: The request.
-        known: What is known of owners.
-        owner: Address of its owner.
+        owner_selector: Times of the owners' messages and replies.
+        owner: Address of the request's owner.
         now: The entry's clock.
     """
-    silence_s = known.get_silence_s(owner, ticket.enqueued_at, now)
+    silence_s = owner_selector.get_silence_s(owner, ticket.enqueued_at, now)
     if ticket.awaiting_reply:
-        return silence_s > known.get_reply_timeout_s(owner)
+        return silence_s > owner_selector.get_reply_timeout_s(owner)
     return silence_s > QUEUE_SILENCE_TIMEOUT_S
 
 
 def find_timeout_reason(
     ticket: tickets.Ticket, now: float
 ) -> message.Reason | None:
-    """Returns why a waiting request is given up; None where it is not."""
+    """Returns why a waiting request has timed out; None if it has not."""
     if ticket.machine.state is not request.State.WAITING:
         return None
     if now >= ticket.deadline:
@@ -51,12 +55,12 @@
         return message.Reason.DEADLINE
     wait_s = ticket.info.wait_s
     if wait_s is not None:
-        # Of a further attempt the owner has only just been told.
+        # After a failed attempt, the owner needs time to decide on the retry.
         due = max(ticket.started_at + wait_s, ticket.enqueued_at)
         if now > due + REFUSAL_GRACE_S:
-            # Its owner should have refused it by now.
+            # The owner should have rejected it by now.
             return message.Reason.OVERLOADED
-    down = ticket.no_owner_since
-    if down is not None and now - down > NO_OWNER_TIMEOUT_S:
+    no_owner_since = ticket.no_owner_since
+    if no_owner_since is not None and now - no_owner_since > NO_OWNER_TIMEOUT_S:
         return message.Reason.NOT_READY
     return None
