--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -104,25 +104,29 @@
 
 
 def test_late_requests_are_queued_behind_those_in_time() -> None:
-    waiting = queue.ShardQueue({"t": 0})
-    late = waiting.make(make_info(request_id="a", objective_s=1.0), "e", 0.0)
-    fresh = waiting.make(make_info(request_id="b", objective_s=9.0), "e", 0.0)
-    waiting.push(late)
-    waiting.push(fresh)
-    waiting.demote(late)
-    order = [w for tier in waiting.tiers for w in tier.list_all()]
+    shard_queue = queue.ShardQueue({"t": 0})
+    late = shard_queue.make(
+        make_info(request_id="a", objective_s=1.0), "e", 0.0
+    )
+    fresh = shard_queue.make(
+        make_info(request_id="b", objective_s=9.0), "e", 0.0
+    )
+    shard_queue.push(late)
+    shard_queue.push(fresh)
+    shard_queue.demote(late)
+    order = [w for tier in shard_queue.tiers for w in tier.list_all()]
     assert [w.request.request_id for w in order] == ["b", "a"]
-    waiting.set_ranks({"t": 0, "u": 1})
-    order = [w for tier in waiting.tiers for w in tier.list_all()]
+    shard_queue.set_ranks({"t": 0, "u": 1})
+    order = [w for tier in shard_queue.tiers for w in tier.list_all()]
     assert [w.request.request_id for w in order] == ["b", "a"]
 
 
 def test_a_request_expires_at_its_maximum_wait() -> None:
-    waiting = queue.ShardQueue({"t": 0})
-    held = waiting.make(make_info(wait_s=1.0), "e", 0.0)
-    waiting.push(held)
-    assert waiting.list_expired(0.9) == []
-    assert waiting.list_expired(1.0) == [held]
+    shard_queue = queue.ShardQueue({"t": 0})
+    held = shard_queue.make(make_info(wait_s=1.0), "e", 0.0)
+    shard_queue.push(held)
+    assert shard_queue.list_expired(0.9) == []
+    assert shard_queue.list_expired(1.0) == [held]
 
 
 def test_the_retry_budget_counts_over_a_window() -> None:
@@ -136,32 +140,34 @@
 
 
 def make_owners() -> owners.OwnerSelector:
-    made = owners.OwnerSelector("all", LOCAL)
+    selector = owners.OwnerSelector("all", LOCAL)
     members = [
         membership.Member("vm-a", "all", LOCAL, 1),
         membership.Member("vm-b", "all", OWNER, 1),
     ]
-    made.apply_view(peer_message.View(members, []))
-    return made
+    selector.apply_view(peer_message.View(members, []))
+    return selector
 
 
-def find_foreign_shard(made: owners.OwnerSelector) -> message.ShardKey:
+def find_foreign_shard(selector: owners.OwnerSelector) -> message.ShardKey:
     """Returns a shard that the other VM owns."""
     shards = (message.ShardKey("all", f"s{n}") for n in range(50))
-    return next(s for s in shards if made.find_owner(s, 0.0) == OWNER)
+    return next(s for s in shards if selector.find_owner(s, 0.0) == OWNER)
 
 
 def test_the_local_scheduler_replaces_a_silent_owner() -> None:
-    made = make_owners()
-    shard = find_foreign_shard(made)
-    assert made.back_off(OWNER, 10.0)
-    assert not made.back_off(OWNER, 10.1)
-    assert made.find_owner(shard, 10.5) == LOCAL
-    assert made.find_owner(shard, 10.0 + owners.FIRST_BACKOFF_S) == OWNER
-    assert made.back_off(OWNER, 12.0)
-    assert made.find_owner(shard, 12.0 + owners.FIRST_BACKOFF_S * 1.5) == LOCAL
-    made.record_message(OWNER, 12.1)
-    assert made.find_owner(shard, 12.2) == OWNER
+    selector = make_owners()
+    shard = find_foreign_shard(selector)
+    assert selector.back_off(OWNER, 10.0)
+    assert not selector.back_off(OWNER, 10.1)
+    assert selector.find_owner(shard, 10.5) == LOCAL
+    assert selector.find_owner(shard, 10.0 + owners.FIRST_BACKOFF_S) == OWNER
+    assert selector.back_off(OWNER, 12.0)
+    assert (
+        selector.find_owner(shard, 12.0 + owners.FIRST_BACKOFF_S * 1.5) == LOCAL
+    )
+    selector.record_message(OWNER, 12.1)
+    assert selector.find_owner(shard, 12.2) == OWNER
 
 
 def test_vms_of_a_zone_agree_on_the_replacement_of_a_silent_owner() -> None:
@@ -175,15 +181,17 @@
         )
         for n, (vm, zone) in enumerate(zones.items())
     ]
-    made = [owners.OwnerSelector("all", f"vm{n}:1") for n in range(4)]
-    for one in made:
+    selectors = [owners.OwnerSelector("all", f"vm{n}:1") for n in range(4)]
+    for one in selectors:
         one.apply_view(peer_message.View(members, []))
-    owner = made[0].find_owner(shard, 10.0)
+    owner = selectors[0].find_owner(shard, 10.0)
     assert owner is not None
-    for one in made:
+    for one in selectors:
         assert one.find_owner(shard, 10.0) == owner
         one.back_off(owner, 10.0)
-    (replacement,) = {one.find_owner(shard, 10.1) for one in made} - {owner}
+    (replacement,) = {one.find_owner(shard, 10.1) for one in selectors} - {
+        owner
+    }
     assert replacement in {"vm1:1", "vm3:1"}
 
 
--- a/test/test_path.py
+++ b/test/test_path.py
@@ -20,14 +20,14 @@
     url: str, body: Any, key: str = "key-salon-ola", **headers: str
 ) -> tuple[int, Any, Any]:
     """Returns status, headers and JSON body of a POST."""
-    asked = urllib.request.Request(
+    request = urllib.request.Request(
         url,
         json.dumps(body).encode(),
         {"authorization": f"Bearer {key}", **headers},
         method="POST",
     )
     try:
-        with urllib.request.urlopen(asked, timeout=20) as answer:
+        with urllib.request.urlopen(request, timeout=20) as answer:
             return answer.status, answer.headers, json.load(answer)
     except urllib.error.HTTPError as error:
         return error.code, error.headers, json.load(error)
