--- a/ramptray/log/__init__.py
+++ b/ramptray/log/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the append-only log service and what stands beside it."""
+"""Clients of the append-only log and readers of its streams."""
--- a/ramptray/log/blocklog.py
+++ b/ramptray/log/blocklog.py
@@ -1,4 +1,4 @@
-"""Where blocks are kept that must outlive all VMs."""
+"""Storage of blocks that must persist when all VMs are replaced."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class StoredBlock(msgspec.Struct, frozen=True):
-    """A block as it is kept.
+    """A block as it is stored.
 
     Attributes:
         content: See ``blocklist.Block``.
         level: See ``blocklist.Block``.
-        until_unix_s: When the content may be tried again, by the time of day.
+        until_unix_s: When the content may be tried again, in Unix time.
         crashes: See ``blocklist.Block``.
         lifted: See ``blocklist.Block``.
     """
@@ -26,20 +26,20 @@
 
 
 class BlockLog(abc.ABC):
-    """Keeps the latest word on each content."""
+    """Stores the latest block of each content."""
 
     @abc.abstractmethod
     async def save(self, block: StoredBlock) -> None:
-        """Keeps a block.
+        """Stores a block.
 
         Raises:
-            LogError: It may not have been kept.
+            LogError: It may not have been stored.
         """
 
     @abc.abstractmethod
     async def load(self) -> list[StoredBlock]:
-        """Returns what is kept.
+        """Returns the stored blocks.
 
         Raises:
-            LogError: It could not be read.
+            LogError: They could not be read.
         """
--- a/ramptray/log/client.py
+++ b/ramptray/log/client.py
@@ -1,7 +1,7 @@
 """Client of the platform's append-only log.
 
 The log has named streams; each record has an offset in its stream.  An append
-whose answer is lost may still take effect, even much later.
+whose response is lost may still take effect, even much later.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from ramptray.log import error as log_error
 
 APPEND_TIMEOUT_S = 2.0
-READ_SLACK_S = 2.0
+READ_MARGIN_S = 2.0
 
 
 class PlatformError(log_error.LogError):
-    """The platform did not answer, or answered with an error."""
+    """The platform did not respond, or responded with an error."""
 
 
 class PlatformTimeoutError(PlatformError, log_error.LogTimeoutError):
-    """The platform did not answer in time."""
+    """The platform did not respond in time."""
 
 
 class LogRecord(msgspec.Struct, frozen=True):
@@ -38,9 +38,9 @@
     """Part of a stream.
 
     Attributes:
-        first_retained: Lowest offset the log still keeps.
-        next_offset: Offset the stream's next record will get.
-        records: Records from the offset that was asked for.
+        first_retained: Lowest offset that the log still retains.
+        next_offset: Offset of the stream's next record.
+        records: Records from the requested offset on.
     """
 
     first_retained: int
@@ -49,7 +49,7 @@
 
     @property
     def is_last(self) -> bool:
-        """Whether no further records follow this page yet."""
+        """Whether the stream has no records after this page yet."""
         if not self.records:
             return True
         return self.records[-1].offset + 1 >= self.next_offset
@@ -63,7 +63,7 @@
         """Appends a record and returns its offset.
 
         Raises:
-            PlatformError: There is no answer; the append may yet take effect.
+            PlatformError: No response; the append may still take effect.
         """
 
     @abc.abstractmethod
@@ -71,7 +71,7 @@
         """Returns records from an offset on, waiting if there are none.
 
         Raises:
-            PlatformError: There is no answer.
+            PlatformError: There is no response.
         """
 
 
@@ -80,38 +80,38 @@
 
     Args:
         url: Base URL of the platform's services.
-        agent: How this process names itself to the platform.
+        agent: This process's user agent.
     """
 
     def __init__(self, url: str, agent: str = "ramptray") -> None:
         self._url = url.rstrip("/")
         self._agent = agent
-        # Reads wait long, so they must not keep appends from a connection.
-        self._readers = httpcore.AsyncConnectionPool(max_connections=64)
-        self._writers = httpcore.AsyncConnectionPool(max_connections=8)
+        # Separate pools, so that long polls do not block appends.
+        self._read_pool = httpcore.AsyncConnectionPool(max_connections=64)
+        self._append_pool = httpcore.AsyncConnectionPool(max_connections=8)
 
     async def append(self, stream: str, body: dict[str, Any]) -> int:
         """See the base class."""
-        answer = await call_platform(
-            self._writers,
+        response = await call_platform(
+            self._append_pool,
             "POST",
             f"{self._url}/log/{stream}",
             APPEND_TIMEOUT_S,
             body,
             agent=self._agent,
         )
-        return int(answer["offset"])
+        return int(response["offset"])
 
     async def read(self, stream: str, offset: int, wait_s: float) -> Page:
         """See the base class."""
-        answer = await call_platform(
-            self._readers,
+        response = await call_platform(
+            self._read_pool,
             "GET",
             f"{self._url}/log/{stream}?from={offset}&wait={wait_s}",
-            wait_s + READ_SLACK_S,
+            wait_s + READ_MARGIN_S,
             agent=self._agent,
         )
-        return msgspec.convert(answer, Page)
+        return msgspec.convert(response, Page)
 
 
 async def call_platform(
@@ -122,10 +122,10 @@
     body: Any = None,
     agent: str = "ramptray",
 ) -> Any:
-    """Sends one JSON request to the platform and returns its JSON answer.
+    """Sends a JSON request to the platform and returns the decoded response.
 
     Raises:
-        PlatformError: There was no answer in time, or not a good one.
+        PlatformError: There was no valid response in time.
     """
     headers = [("content-type", "application/json"), ("user-agent", agent)]
     content = None if body is None else msgspec.json.encode(body)
@@ -138,10 +138,10 @@
 
 
 def decode_response(response: httpcore.Response, url: str) -> Any:
-    """Returns the JSON value of an answer.
+    """Returns a response's JSON value.
 
     Raises:
-        PlatformError: It is none.
+        PlatformError: The response is not valid JSON.
     """
     try:
         return msgspec.json.decode(response.content)
@@ -157,10 +157,10 @@
     headers: list[tuple[str, str]],
     content: bytes | None = None,
 ) -> httpcore.Response:
-    """Sends one request to the platform and returns its whole answer.
+    """Sends a request to the platform and returns the whole response.
 
     Raises:
-        PlatformError: There was no answer in time.
+        PlatformError: There was no response in time.
     """
     try:
         with anyio.fail_after(timeout_s):
--- a/ramptray/log/error.py
+++ b/ramptray/log/error.py
@@ -1,13 +1,13 @@
-"""Errors of whatever keeps the log: the product's own or a platform's store."""
+"""Errors of a log: ramptray's own or a platform's store."""
 
 
 class LogError(Exception):
-    """The log did not answer, or turned the call away."""
+    """The log did not answer, or rejected the call."""
 
 
 class LogTimeoutError(LogError):
-    """No answer in time: the log may be silent, or the call was lost."""
+    """The log did not answer in time; the log may be down or the call lost."""
 
 
 class LogTrimmedError(LogError):
-    """Records that were asked for are not kept any more."""
+    """Some of the requested records are no longer retained."""
--- a/ramptray/log/hedging.py
+++ b/ramptray/log/hedging.py
@@ -1,7 +1,7 @@
-"""Repeats a call to the log until one answers, but none that is answering.
+"""Hedges calls to the log: repeats a call while none is being answered.
 
-A call that a silent log took is never answered, also when the log is back; a
-slow log answers the earlier ones, so they go on.
+An unresponsive log never answers the calls that it received, even after it has
+recovered.  A slow log still answers the earlier calls, so these continue.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
 HEDGE_DELAY_S = 0.8
 """Time after which a call that need not wait is repeated, in seconds: twice
-what an answer takes on the slowest days of the log."""
+the log's response time on its slowest days."""
 
 STALL_TIMEOUT_S = 1.0
-"""An answer of which bytes came within this time is on its way, in seconds.  A
-large one takes long on a slow link, and repeating it makes the link slower: by
-older versions 93 and 87 requests were refused or served too late with repeats,
-6 without (88 VMs, 1,317 routes, the same load played again)."""
+"""Time without bytes after which an answer counts as stalled, in seconds.  A
+large answer takes long on a slow link, and repeating the call slows the link
+further: with 88 VMs and 1,317 routes, older versions refused 93 and 87 requests
+or served them too late with repeats, 6 without, under the same load."""
 
 AnswerT = TypeVar("AnswerT")
 
 
 class HedgedCall(Generic[AnswerT]):
-    """Calls that need not wait, of which one answer is wanted.
+    """A call that need not wait, repeated until the first answer.
 
     Args:
-        on_overdue: Called with each account of a call without an answer.
+        on_overdue: Called with a description when an answer is overdue.
     """
 
     def __init__(self, on_overdue: Callable[[str], None]) -> None:
@@ -43,19 +43,19 @@
         self._progress_at = float("-inf")
 
     def record_progress(self) -> None:
-        """Notes that bytes of an answer have come."""
+        """Records that bytes of an answer have arrived."""
         self._progress_at = steadyclock.read()
 
     @property
-    def is_arriving(self) -> bool:
-        """Whether an answer is on its way, if a slow one."""
+    def is_receiving(self) -> bool:
+        """Whether an answer is being received, however slowly."""
         return steadyclock.read() - self._progress_at < STALL_TIMEOUT_S
 
-    async def ask(self, call: Callable[[], Awaitable[AnswerT]]) -> AnswerT:
-        """Repeats a call until one of them answers.
+    async def run(self, call: Callable[[], Awaitable[AnswerT]]) -> AnswerT:
+        """Repeats a call until the log answers one of them.
 
         Raises:
-            log_error.LogError: The log turned a call away.
+            log_error.LogError: The log rejected a call.
         """
         send, receive = anyio.create_memory_object_stream[
             AnswerT | log_error.LogError
@@ -65,8 +65,9 @@
             try:
                 outcome: AnswerT | log_error.LogError = await call()
             except log_error.LogTimeoutError as error:
-                # Whoever waits has logged "log lost" and repeats the call.
-                LOG.debug("call given up: %s", error)
+                # The loop below reports the missing answer, which logs "log
+                # lost", and repeats the call.
+                LOG.debug("call timed out: %s", error)
                 return
             except log_error.LogError as error:
                 outcome = error
@@ -76,12 +77,12 @@
         self._progress_at = float("-inf")
         async with send, receive, anyio.create_task_group() as tasks:
             while True:
-                if not self.is_arriving:
+                if not self.is_receiving:
                     tasks.start_soon(attempt)
                 with anyio.move_on_after(HEDGE_DELAY_S):
                     outcome = await receive.receive()
                     break
-                if not self.is_arriving:
+                if not self.is_receiving:
                     self._on_overdue(f"no answer within {HEDGE_DELAY_S} s")
             tasks.cancel_scope.cancel()
         if isinstance(outcome, log_error.LogError):
--- a/ramptray/log/keyedstream.py
+++ b/ramptray/log/keyedstream.py
@@ -1,4 +1,4 @@
-"""Records of keyed streams: of each key only the newest counts."""
+"""Records of keyed streams, where a key's newest record replaces older ones."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
     Attributes:
         key: The key.
-        value: Its value; None where the key was dropped.
-        position: Its offset; -1 where that is not known.
+        value: Its value; None if the key was deleted.
+        position: The record's offset; -1 if unknown.
     """
 
     key: str
@@ -23,8 +23,8 @@
     """Records of a keyed stream.
 
     Attributes:
-        records: The records in order.
-        end: Offset that the next record will get.
+        records: The records, in order.
+        end: Offset of the next record.
     """
 
     records: list[Change]
--- a/ramptray/log/mirror.py
+++ b/ramptray/log/mirror.py
@@ -1,8 +1,7 @@
-"""What a VM holds of a keyed stream, ready to be told to other VMs.
+"""A VM's copy of a keyed stream, and the updates that it sends to other VMs.
 
-What is told depends on what has changed since the asker's last word: dropped
-and new records only, and a large value as its difference to the one that the
-asker holds.  A plain object without sockets or a clock.
+An update holds only records and deletions that are new to the receiver, and a
+large value as the difference from a former one.  No sockets, no clock.
 """
 
 from __future__ import annotations
@@ -17,18 +16,18 @@
 from ramptray.peer import message as peer_message
 
 MAX_FORMER_VALUES = 8
-"""Former values of a large record that are kept, so that a VM that is some
-changes behind gets a difference too."""
+"""Former values to keep of a large record, so that a VM that is several changes
+behind gets a difference too."""
 
 MIN_DELTA_BYTES = 2048
-"""Values from this size on are told as differences; smaller ones fit a packet
-or two as they are."""
+"""Smallest value that is sent as a difference; smaller ones fit into one or two
+packets."""
 
 MAX_TOMBSTONES = 1000
-"""Dropped keys that are remembered; who is further behind is told all."""
+"""Deleted keys to keep; a VM that is further behind gets the whole stream."""
 
 MAX_PACKED_VALUES = 16
-"""Packed values that are kept: VMs that follow mostly ask for the same ones."""
+"""Size of the cache of packed values: most followers need the same ones."""
 
 
 _RECORDS_ENCODER = msgspec.msgpack.Encoder()
@@ -36,7 +35,7 @@
 
 
 class MirrorError(Exception):
-    """What a peer told does not fit to what is held, or is damaged."""
+    """An update is damaged or does not match the records held here."""
 
 
 class _Version(msgspec.Struct, frozen=True):
@@ -47,126 +46,131 @@
 
 
 class Mirror:
-    """Holds one keyed stream up to its ``end``.
+    """Copy of one keyed stream up to its ``end``.
 
     Attributes:
-        end: Offset up to which it is held; None while nothing is.
+        end: Offset up to which records are held; None before the first.
     """
 
     def __init__(self) -> None:
         self.end: int | None = None
-        self._newest: dict[str, keyedstream.Change] = {}
-        self._former: dict[str, collections.deque[_Version]] = {}
-        self._dropped: dict[str, int] = {}
-        # Who holds less than up to here is told all: drops may be unknown.
-        self._whole_before = 0
-        # All records, packed, and the end up to which they are.
-        self._whole: tuple[int, bytes] | None = None
-        self._packed: collections.OrderedDict[tuple[str, int, int], bytes] = (
-            collections.OrderedDict()
-        )
+        self._records: dict[str, keyedstream.Change] = {}
+        self._former_values: dict[str, collections.deque[_Version]] = {}
+        self._tombstones: dict[str, int] = {}
+        # VMs behind this offset get the whole stream: deletions before it may
+        # be unknown here.
+        self._full_before = 0
+        # The end of the stream, and all records up to it, packed.
+        self._packed_stream: tuple[int, bytes] | None = None
+        self._packed_values: collections.OrderedDict[
+            tuple[str, int, int], bytes
+        ] = collections.OrderedDict()
 
     def apply(self, changes: keyedstream.Changes, whole: bool) -> None:
-        """Takes records in their order.
+        """Applies records in their order.
 
         Args:
             changes: The records.
-            whole: Whether they are all there are, instead of what follows
-                those that are held.
+            whole: Whether they are the whole stream rather than a continuation
+                of the records held.
         """
         if whole:
-            self._newest.clear()
-            self._dropped.clear()
-            self._whole_before = changes.end
+            self._records.clear()
+            self._tombstones.clear()
+            self._full_before = changes.end
         for change in changes.records:
-            self._take(change)
+            self._apply_change(change)
         self.end = changes.end
-        while len(self._dropped) > MAX_TOMBSTONES:
-            key = next(iter(self._dropped))
-            self._whole_before = self._dropped.pop(key) + 1
+        while len(self._tombstones) > MAX_TOMBSTONES:
+            key = next(iter(self._tombstones))
+            self._full_before = self._tombstones.pop(key) + 1
 
     def make_update(self, stream: str, start: int) -> peer_message.StreamNews:
-        """Returns what somebody lacks who holds the stream up to an offset.
+        """Returns an update for a VM that holds the stream up to an offset.
 
         Args:
             stream: The stream's name.
-            start: Offset of the first record that is lacked; -1 for all.
+            start: Offset of the first missing record; -1 for the whole stream.
         """
         end = self.end or 0
-        if start < self._whole_before:
-            packed = self._pack_whole(end)
+        if start < self._full_before:
+            packed = self._pack_stream(end)
             return peer_message.StreamNews(
                 stream, start, [], end, True, packed=packed
             )
         records = [
-            self._pack(change, start)
-            for change in self._newest.values()
+            self._pack_record(change, start)
+            for change in self._records.values()
             if change.position >= start
         ]
         records.extend(
             peer_message.StreamRecord(key, position, None)
-            for key, position in self._dropped.items()
+            for key, position in self._tombstones.items()
             if position >= start
         )
         records.sort(key=lambda record: record.position)
         return peer_message.StreamNews(stream, start, records, end, False)
 
-    def unpack(self, news: peer_message.StreamNews) -> keyedstream.Changes:
-        """Returns the records that a peer told.
+    def unpack(self, update: peer_message.StreamNews) -> keyedstream.Changes:
+        """Returns the records of a peer's update.
 
         Raises:
-            MirrorError: They are damaged, or do not follow what is held.
+            MirrorError: The update is damaged, or does not continue the records
+                held.
         """
         held = -1 if self.end is None else self.end
-        if not news.whole and news.start > held:
-            raise MirrorError(f"records before {news.start} are not held")
-        if news.packed is not None:
-            records = _unpack_whole(news.packed)
+        if not update.whole and update.start > held:
+            raise MirrorError(f"records before {update.start} are not held")
+        if update.packed is not None:
+            records = _unpack_stream(update.packed)
             return keyedstream.Changes(
-                [self._unpack(record) for record in records], news.end
+                [self._unpack_record(record) for record in records], update.end
             )
-        last = max((r.position for r in news.records), default=-1)
-        if news.end > held and not news.whole and last != news.end - 1:
-            raise MirrorError(f"the last record before {news.end} is missing")
+        last = max((r.position for r in update.records), default=-1)
+        if update.end > held and not update.whole and last != update.end - 1:
+            raise MirrorError(f"the last record before {update.end} is missing")
         return keyedstream.Changes(
-            [self._unpack(record) for record in news.records], news.end
+            [self._unpack_record(record) for record in update.records],
+            update.end,
         )
 
-    def _take(self, change: keyedstream.Change) -> None:
-        before = self._newest.pop(change.key, None)
-        self._dropped.pop(change.key, None)
+    def _apply_change(self, change: keyedstream.Change) -> None:
+        before = self._records.pop(change.key, None)
+        self._tombstones.pop(change.key, None)
         if change.value is None:
-            self._dropped[change.key] = change.position
-            self._former.pop(change.key, None)
+            self._tombstones[change.key] = change.position
+            self._former_values.pop(change.key, None)
             return
-        self._newest[change.key] = change
+        self._records[change.key] = change
         if before is not None and before.value is not None:
-            self._keep(change.key, _Version(before.position, before.value))
+            self._store_former(
+                change.key, _Version(before.position, before.value)
+            )
 
-    def _keep(self, key: str, version: _Version) -> None:
+    def _store_former(self, key: str, version: _Version) -> None:
         if len(version.value) < MIN_DELTA_BYTES or version.position < 0:
             return
-        kept = self._former.setdefault(
+        values = self._former_values.setdefault(
             key, collections.deque(maxlen=MAX_FORMER_VALUES)
         )
-        if not kept or kept[-1].position != version.position:
-            kept.append(version)
+        if not values or values[-1].position != version.position:
+            values.append(version)
 
-    def _pack_whole(self, end: int) -> bytes:
-        """Returns all records in one piece.
+    def _pack_stream(self, end: int) -> bytes:
+        """Returns all records, packed together.
 
-        Load pattern: hundreds of VMs start at once and ask the same few for
-        thousands of records.  Packed together they are a tenth of the bytes,
-        and they are packed once for all who ask.
+        Load pattern: hundreds of VMs start at once and request thousands of
+        records from the same few VMs.  Packed together they take a tenth of
+        the bytes, and they are packed once for all receivers.
         """
-        if self._whole is None or self._whole[0] != end:
-            records = [self._pack(c, -1) for c in self._newest.values()]
+        if self._packed_stream is None or self._packed_stream[0] != end:
+            records = [self._pack_record(c, -1) for c in self._records.values()]
             records.sort(key=lambda record: record.position)
             packed = delta.pack(b"", _RECORDS_ENCODER.encode(records))
-            self._whole = (end, packed)
-        return self._whole[1]
+            self._packed_stream = (end, packed)
+        return self._packed_stream[1]
 
-    def _pack(
+    def _pack_record(
         self, change: keyedstream.Change, start: int
     ) -> peer_message.StreamRecord:
         value = change.value or b""
@@ -175,58 +179,60 @@
         base = max(
             (
                 version
-                for version in self._former.get(change.key, ())
+                for version in self._former_values.get(change.key, ())
                 if version.position < start
             ),
             key=lambda version: version.position,
             default=None,
         )
-        name = (change.key, change.position, base.position if base else -1)
-        if name not in self._packed:
+        cache_key = (change.key, change.position, base.position if base else -1)
+        if cache_key not in self._packed_values:
             former = base.value if base else b""
-            self._packed[name] = delta.pack(former, value)
-            while len(self._packed) > MAX_PACKED_VALUES:
-                self._packed.popitem(last=False)
+            self._packed_values[cache_key] = delta.pack(former, value)
+            while len(self._packed_values) > MAX_PACKED_VALUES:
+                self._packed_values.popitem(last=False)
         return peer_message.StreamRecord(
             change.key,
             change.position,
-            self._packed[name],
-            name[2],
+            self._packed_values[cache_key],
+            cache_key[2],
             xxhash.xxh3_64_intdigest(value),
         )
 
-    def _unpack(self, record: peer_message.StreamRecord) -> keyedstream.Change:
+    def _unpack_record(
+        self, record: peer_message.StreamRecord
+    ) -> keyedstream.Change:
         packed = record.value
         if packed is None or record.digest is None:
             return keyedstream.Change(record.key, packed, record.position)
         try:
-            value = delta.unpack(self._find(record), packed)
+            value = delta.unpack(self._find_base(record), packed)
         except delta.DeltaError as error:
             raise MirrorError(f"{record.key}: {error}") from error
         if xxhash.xxh3_64_intdigest(value) != record.digest:
-            raise MirrorError(f"{record.key}: another digest than told")
+            raise MirrorError(f"{record.key}: digest mismatch")
         return keyedstream.Change(record.key, value, record.position)
 
-    def _find(self, record: peer_message.StreamRecord) -> bytes:
+    def _find_base(self, record: peer_message.StreamRecord) -> bytes:
         """Returns the value that a record is a difference to."""
         if record.base < 0:
             return b""
-        newest = self._newest.get(record.key)
+        newest = self._records.get(record.key)
         if newest and newest.position == record.base and newest.value:
             return newest.value
-        for version in self._former.get(record.key, ()):
+        for version in self._former_values.get(record.key, ()):
             if version.position == record.base:
                 return version.value
-        raise MirrorError(f"{record.key}: the record it rests on is not held")
+        raise MirrorError(f"{record.key}: the base record is not held")
 
 
-def _unpack_whole(packed: bytes) -> list[peer_message.StreamRecord]:
-    """Returns the records of a whole stream.
+def _unpack_stream(packed: bytes) -> list[peer_message.StreamRecord]:
+    """Returns the records of a packed stream.
 
     Raises:
-        MirrorError: They are damaged.
+        MirrorError: The packed stream is damaged.
     """
     try:
         return _RECORDS_DECODER.decode(delta.unpack(b"", packed))
     except (delta.DeltaError, msgspec.MsgspecError) as error:
-        raise MirrorError(f"the whole stream: {error}") from error
+        raise MirrorError(f"packed stream: {error}") from error
--- a/ramptray/log/pages.py
+++ b/ramptray/log/pages.py
@@ -1,4 +1,4 @@
-"""Reads a stream of the product's own log."""
+"""Reads a stream of ramptray's own log."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PageReader(reader.StreamReader[log_client.Page]):
-    """Follows a stream from its oldest kept record on.
+    """Follows a stream from its oldest retained record on.
 
     Args:
         log: The log.
--- a/ramptray/log/reader.py
+++ b/ramptray/log/reader.py
@@ -1,10 +1,10 @@
-"""Follows one stream of the log on and on, and notices lost reads.
+"""Follows one stream of the log, and detects lost reads.
 
-A read that waits for records looks the same while nothing changes and when the
-log will never answer it: the connection stays sound.  Three things tell them
-apart.  Of all VMs a few watch: their reads wait shortly, so that one that was
-lost is found soon.  Peers tell how far they have read; who waits at an earlier
-record was lost.  And a call that need not wait is repeated until one answers.
+A long poll looks the same while nothing changes and when the log will never
+answer it, since the connection stays open.  Three mechanisms tell these apart:
+a few VMs watch the stream with short polls, which time out soon after a loss;
+peers report how far they have read, so a poll that waits at an earlier record
+was lost; and calls that need not wait are hedged.
 """
 
 from __future__ import annotations
@@ -27,47 +27,47 @@
 LOG = logging.getLogger(__name__)
 
 RETRY_S = 0.25
-"""Pause after a call that was turned away, in seconds; it doubles up to the
-longest."""
+"""Pause after a rejected call, in seconds; it doubles up to
+``MAX_RETRY_S``."""
 
 MAX_RETRY_S = 1.0
-"""Longest pause between two such calls, in seconds: what the log has must be
+"""Longest pause between two such calls, in seconds: the log's records must be
 in force about two seconds after it answers again."""
 
 BATCH_DELAY_S = 0.4
-"""Pause after an answer with records, in seconds, so that changes that come
-together cost one call: a fifth of the time in which a change must be in
-force."""
+"""Pause after an answer with records, in seconds, so that changes in quick
+succession cost one call.  It is a fifth of the time in which a change must be
+in force."""
 
 WATCH_WAIT_S = 1.0
-"""How long a watcher's read waits, in seconds.  With ``RESPONSE_MARGIN_S`` a
-lost read is found within 1.6 s; a VM is held to changes 3 s after an outage.
-It costs the log a call a second a stream, too much for all VMs."""
+"""Long-poll wait of a watching VM, in seconds.  With ``RESPONSE_MARGIN_S`` a
+lost read is detected within 1.6 s; a VM must apply changes 3 s after an outage.
+One call per second and stream would be too much load from all VMs."""
 
 RESPONSE_MARGIN_S = 0.6
-"""How much longer than it waits a read may take, in seconds: on the slowest
-days of the log an answer takes 0.4 s."""
+"""How much longer than its wait a long poll may take, in seconds: on the
+slowest days of the log an answer takes 0.4 s."""
 
 CALL_TIMEOUT_S = 3.0
-"""Longest time for a call that need not wait, in seconds.  It is repeated long
-before, so this only bounds how many are underway."""
+"""Timeout of a call that need not wait, in seconds.  It is repeated long
+before, so this only limits the number of concurrent calls."""
 
 LOST_READ_AFTER_S = 0.4
-"""Time after which a read that waits would have been answered if there were
-records, in seconds: what a slow log takes."""
+"""Time after which a pending read is lost if the log has records that it has
+not returned, in seconds: the response time of a slow log."""
 
 LOG_ORIGIN = "log"
-"""What log lines name as the origin of what the log itself told."""
+"""Value of ``StreamReader.origin`` for records that the log returned."""
 
 PageT = TypeVar("PageT")
 
 
-class _Underway(msgspec.Struct):
-    """A read that waits.
+class _PendingRead(msgspec.Struct):
+    """A long poll in progress.
 
     Attributes:
         sent_at: When it was sent.
-        scope: Ends it.
+        scope: Cancels it.
     """
 
     sent_at: float
@@ -75,25 +75,25 @@
 
 
 class StreamReader(abc.ABC, Generic[PageT]):
-    """Follows one stream: its beginning first, then each change as it comes.
+    """Follows one stream: first its existing records, then each change.
 
     Args:
         stream: The stream's name.
-        longest_wait_s: How long a read waits on VMs that do not watch, in
-            seconds.
+        longest_wait_s: Long-poll wait of a VM that does not watch, in seconds.
         batch_delay_s: Pause after an answer with records, in seconds.
-        follows_peers: Whether VMs that do not watch are told by other VMs what
-            there is, and do not read.
+        follows_peers: Whether a VM that does not watch gets the records from
+            other VMs instead of reading the log.
 
     Attributes:
         stream: The stream's name.
         in_outage: Whether the log does not answer.
-        answered_at: When it last answered, or another VM told of its answer;
-            None before the first time.
-        fresh_at: When the log had no more than what is known here.
-        origin: Who told what is taken at present: the log, or a peer.
-        on_advance: Called when others may not have read what is known here.
-        on_answer: Called with each answer of the log.
+        answered_at: When the log last answered this VM or another one that
+            passed its answer on; None before the first time.
+        fresh_at: When the log had no records beyond those known here.
+        origin: Source of the records being applied: the log or a peer.
+        on_advance: Called when this VM may know records that others have not
+            read.
+        on_answer: Called after each answer of the log.
     """
 
     def __init__(
@@ -108,28 +108,28 @@
         self.answered_at: float | None = None
         self.fresh_at = float("-inf")
         self.origin = LOG_ORIGIN
-        self.on_advance: Callable[[], None] = _tell_nobody
-        self.on_answer: Callable[[], None] = _tell_nobody
+        self.on_advance: Callable[[], None] = _do_nothing
+        self.on_answer: Callable[[], None] = _do_nothing
         self._longest_wait_s = longest_wait_s
         self._gather_s = batch_delay_s
         self._watching = False
-        self._is_told = follows_peers
-        self._watched = anyio.Event()
+        self._follows_peers = follows_peers
+        self._watching_started = anyio.Event()
         self._end: int | None = None
-        self._told = 0
-        self._told_at = 0.0
-        self._calls = hedging.HedgedCall[PageT](self._begin_outage)
-        self._doubted = False
-        self._asked_at: float | None = None
-        self._lost_at = 0.0
-        self._underway: _Underway | None = None
+        self._peer_end = 0
+        self._peer_end_at = 0.0
+        self._hedged_call = hedging.HedgedCall[PageT](self._begin_outage)
+        self._poll_at_once = False
+        self._read_started_at: float | None = None
+        self._outage_began_at = 0.0
+        self._pending_read: _PendingRead | None = None
 
     @abc.abstractmethod
     async def read_first(self) -> PageT:
-        """Returns what a reader begins with, without waiting.
+        """Returns the existing records, without waiting.
 
         Raises:
-            log_error.LogError: There is no answer.
+            log_error.LogError: The log did not answer.
         """
 
     @abc.abstractmethod
@@ -139,52 +139,52 @@
         """Returns the records from an offset on.
 
         Args:
-            offset: Offset of the first record wanted.
-            wait_s: How long to wait for one, in seconds; 0 for not at all.
-            timeout_s: How long the whole call may take, in seconds.
+            offset: Offset of the first record.
+            wait_s: How long to wait for a record, in seconds; 0 for no wait.
+            timeout_s: Timeout of the whole call, in seconds.
 
         Raises:
-            log_error.LogTimeoutError: There is no answer in time.
-            log_error.LogTrimmedError: Some records are not kept any more.
-            log_error.LogError: The log turned the call away.
+            log_error.LogTimeoutError: The log did not answer in time.
+            log_error.LogTrimmedError: Some records are no longer retained.
+            log_error.LogError: The log rejected the call.
         """
 
     @abc.abstractmethod
     async def apply_page(self, page: PageT, first: bool) -> None:
-        """Takes what was read; ``first`` tells that a reader began with it."""
+        """Applies records; ``first`` if they came from ``read_first``."""
 
     @abc.abstractmethod
     def get_end(self, page: PageT) -> int:
-        """Returns the offset from which to read on."""
+        """Returns the offset from which to continue after a page."""
 
     @abc.abstractmethod
     def count_records(self, page: PageT) -> int:
-        """Returns how many records were read."""
+        """Returns the number of records in a page."""
 
     def record_outage(self) -> None:
-        """Called each time that the log does not answer."""
+        """Called each time the log does not answer; does nothing here."""
 
     def record_progress(self) -> None:
-        """Notes that bytes of an answer have come."""
-        self._calls.record_progress()
+        """Records that bytes of an answer have arrived."""
+        self._hedged_call.record_progress()
 
     @property
     def known_end(self) -> int:
-        """The stream reaches at least to this offset, 0 while none is known."""
-        return max(self._end or 0, self._told)
+        """Highest end of the stream known from any VM; 0 if there is none."""
+        return max(self._end or 0, self._peer_end)
 
     async def run(self) -> None:
-        """Follows until cancelled."""
+        """Reads the stream until cancelled."""
         pause_s = RETRY_S
         while True:
-            if self._is_told and not self._watching:
-                self._asked_at = None
-                await self._watched.wait()
+            if self._follows_peers and not self._watching:
+                self._read_started_at = None
+                await self._watching_started.wait()
             try:
-                self._asked_at = steadyclock.read()
+                self._read_started_at = steadyclock.read()
                 found = await self._read()
             except log_error.LogTrimmedError as error:
-                LOG.info("history was dropped: %s", error)
+                LOG.info("records no longer retained: %s", error)
                 self._end = None
             except log_error.LogError as error:
                 self._begin_outage(str(error))
@@ -193,7 +193,7 @@
             else:
                 pause_s = RETRY_S
                 if found is not None and self.count_records(found):
-                    await self._gather()
+                    await self._wait_for_batch()
 
     def set_watching(self, watching: bool) -> None:
         """Sets whether this VM watches the stream for the others."""
@@ -205,15 +205,15 @@
             extra={"stream": self.stream, "end": self._end},
         )
         if watching:
-            # Others wait for word of how the log stands now.
-            self._doubted = self._doubted or self._is_told
-            self._watched.set()
+            # Other VMs wait for this one to report the log's current state.
+            self._poll_at_once = self._poll_at_once or self._follows_peers
+            self._watching_started.set()
         else:
-            self._watched = anyio.Event()
-        if self._underway and watching:
-            self._doubt("this VM watches from now on")
-        elif self._underway and self._is_told:
-            self._underway.scope.cancel()
+            self._watching_started = anyio.Event()
+        if self._pending_read and watching:
+            self._abandon_read("this VM started to watch the stream")
+        elif self._pending_read and self._follows_peers:
+            self._pending_read.scope.cancel()
 
     @property
     def watching(self) -> bool:
@@ -222,27 +222,27 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether there are records that are not known here yet."""
-        return self._told > (self._end or 0)
+        """Whether the stream has records that are not known here yet."""
+        return self._peer_end > (self._end or 0)
 
     def get_lag_s(self, now: float) -> float:
-        """Returns for how many seconds known records have been missing here."""
-        return now - self._told_at if self.is_behind else 0.0
+        """Returns for how many seconds this VM has been behind."""
+        return now - self._peer_end_at if self.is_behind else 0.0
 
     @property
     def end(self) -> int | None:
-        """Up to which offset the stream is known here; None for nothing."""
+        """Offset up to which records are known here; None before any are."""
         return self._end
 
     async def apply_peer_page(
         self, page: PageT, whole: bool, fresh_at: float, peer: str
     ) -> None:
-        """Takes what another VM has read.
+        """Applies records that another VM has read.
 
         Args:
             page: The records.
-            whole: Whether they are all there are.
-            fresh_at: When the log had no more than that.
+            whole: Whether they are the whole stream.
+            fresh_at: When the log had no records beyond these.
             peer: Address of the other VM.
         """
         end = self.get_end(page)
@@ -252,7 +252,7 @@
             self.origin = f"peer {peer}"
             await self.apply_page(page, whole)
             self._end = end
-            self._told = max(self._told, end)
+            self._peer_end = max(self._peer_end, end)
             self.on_advance()
         self.fresh_at = max(self.fresh_at, fresh_at)
         self.answered_at = steadyclock.read()
@@ -260,38 +260,44 @@
             self.in_outage = False
 
     def update_known_end(self, end: int) -> None:
-        """Takes how far the stream reaches as somebody else knows."""
+        """Updates the end of the stream as reported by another VM."""
         if self._end is None or end <= self.known_end:
             return
-        if self._told <= self._end:
-            self._told_at = steadyclock.read()
-        self._told = end
+        if self._peer_end <= self._end:
+            self._peer_end_at = steadyclock.read()
+        self._peer_end = end
         self.on_advance()
 
     def check_pending_read(self) -> None:
-        """Gives a read up that waits for records which are there."""
-        underway = self._underway
-        if underway is None or self._told <= (self._end or 0):
+        """Abandons a pending read that should have returned by now.
+
+        Such a read waits for records that another VM already knows.
+        """
+        pending = self._pending_read
+        if pending is None or self._peer_end <= (self._end or 0):
             return
-        due_since = max(underway.sent_at, self._told_at)
+        due_since = max(pending.sent_at, self._peer_end_at)
         if (
             steadyclock.read() - due_since < LOST_READ_AFTER_S
-            or self._calls.is_arriving
+            or self._hedged_call.is_receiving
         ):
             return
-        self._doubt("there are records that it should have told")
+        self._abandon_read("the log has records that it should have returned")
 
     def list_gauges(self, now: float) -> list[metrics.Gauge]:
-        """Returns how far and how old the reads of the stream are.
+        """Returns the stream's end and the ages of its reads.
 
-        An old read underway beside an old answer is a read that was lost; an
-        old answer alone is a stream in which nothing changes.
+        An old pending read together with an old answer is a lost read; an old
+        answer alone means that the stream does not change.
         """
-        # No read underway, and no outage, is an age of 0; no answer yet has no
-        # age.
+        # Without a pending read or an outage the age is 0.  Before the first
+        # answer there is no answer age.
         values = {
-            "log_read_underway_seconds": _round_age(self._asked_at, now) or 0.0,
-            "log_lost_seconds": now - self._lost_at if self.in_outage else 0.0,
+            "log_read_underway_seconds": _round_age(self._read_started_at, now)
+            or 0.0,
+            "log_lost_seconds": now - self._outage_began_at
+            if self.in_outage
+            else 0.0,
             "log_watching": float(self._watching),
         }
         if self.answered_at is not None:
@@ -307,71 +313,73 @@
     # Reads.
 
     async def _read(self) -> PageT | None:
-        """Returns the next records; None if the read was given up."""
+        """Returns the next records; None if the read was abandoned."""
         offset = self._end
         if offset is None:
-            found = await self._calls.ask(self.read_first)
-        elif self.in_outage or self._doubted:
-            found = await self._calls.ask(
+            found = await self._hedged_call.run(self.read_first)
+        elif self.in_outage or self._poll_at_once:
+            found = await self._hedged_call.run(
                 lambda: self.read_from(offset, 0.0, CALL_TIMEOUT_S)
             )
         else:
-            waited = await self._wait(offset)
+            waited = await self._long_poll(offset)
             if waited is None:
                 return None
             found = waited
         if self.get_end(found) < (self._end or 0) and self.count_records(found):
-            # Another VM told more while the answer was on its way.
+            # Another VM sent later records before the answer arrived.
             return None
         self.origin = LOG_ORIGIN
         await self.apply_page(found, offset is None)
-        self._note_answer(offset, found)
+        self._record_answer(offset, found)
         return found
 
-    async def _wait(self, offset: int) -> PageT | None:
-        """Waits for records; returns None if the read was lost."""
+    async def _long_poll(self, offset: int) -> PageT | None:
+        """Waits for records; returns None if the read was abandoned."""
         wait_s = WATCH_WAIT_S if self._watching else self._longest_wait_s
         try:
-            with self._note_underway():
+            with self._track_pending_read():
                 return await self.read_from(
                     offset, wait_s, wait_s + RESPONSE_MARGIN_S
                 )
         except log_error.LogTimeoutError as error:
-            self._doubt(str(error))
+            self._abandon_read(str(error))
         return None
 
     @contextlib.contextmanager
-    def _note_underway(self) -> Iterator[None]:
+    def _track_pending_read(self) -> Iterator[None]:
         with anyio.CancelScope() as scope:
-            self._underway = _Underway(steadyclock.read(), scope)
+            self._pending_read = _PendingRead(steadyclock.read(), scope)
             try:
                 yield
             finally:
-                self._underway = None
+                self._pending_read = None
 
-    async def _gather(self) -> None:
+    async def _wait_for_batch(self) -> None:
         await anyio.sleep(self._gather_s)
         if self._watching:
-            # By now everybody whose read was not lost has read it too.
+            # By now all VMs whose read was not lost have these records too.
             self.on_advance()
 
-    # What is believed of the log.
+    # State of the log.
 
-    def _doubt(self, reason: str) -> None:
-        """Gives the read that waits up; the next one need not wait."""
-        self._doubted = True
+    def _abandon_read(self, reason: str) -> None:
+        """Abandons the pending read; the next one polls without a wait."""
+        self._poll_at_once = True
         LOG.info(
             "read given up",
             extra={
                 "stream": self.stream,
                 "reason": reason,
                 "end": self._end,
-                "told": self._told,
-                "waited_s": _round_age(self._asked_at, steadyclock.read()),
+                "told": self._peer_end,
+                "waited_s": _round_age(
+                    self._read_started_at, steadyclock.read()
+                ),
             },
         )
-        if self._underway:
-            self._underway.scope.cancel()
+        if self._pending_read:
+            self._pending_read.scope.cancel()
 
     def _begin_outage(self, detail: str) -> None:
         self.record_outage()
@@ -379,22 +387,22 @@
             return
         now = steadyclock.read()
         self.in_outage = True
-        self._lost_at = now
+        self._outage_began_at = now
         LOG.warning(
             "log lost",
             extra={
                 "stream": self.stream,
                 "detail": detail,
-                "waited_s": _round_age(self._asked_at, now),
+                "waited_s": _round_age(self._read_started_at, now),
                 "answer_age_s": _round_age(self.answered_at, now),
             },
         )
 
-    def _note_answer(self, offset: int | None, found: PageT) -> None:
+    def _record_answer(self, offset: int | None, found: PageT) -> None:
         now = steadyclock.read()
         end = self.get_end(found)
         records = self.count_records(found)
-        if records or self._doubted or self.in_outage:
+        if records or self._poll_at_once or self.in_outage:
             LOG.info(
                 "log read",
                 extra={
@@ -402,29 +410,29 @@
                     "offset": offset,
                     "end": end,
                     "records": records,
-                    "waited_s": _round_age(self._asked_at, now),
+                    "waited_s": _round_age(self._read_started_at, now),
                 },
             )
         if self.in_outage:
             self.in_outage = False
-            away_s = round(now - self._lost_at, 3)
+            away_s = round(now - self._outage_began_at, 3)
             LOG.info(
                 "log regained",
                 extra={"stream": self.stream, "away_s": away_s},
             )
         self._end = end
-        # The log's word goes before a peer's.
-        self._told = min(self._told, end)
-        self._doubted = False
-        self._asked_at = None
+        # The log's answer takes precedence over what peers have reported.
+        self._peer_end = min(self._peer_end, end)
+        self._poll_at_once = False
+        self._read_started_at = None
         self.answered_at = self.fresh_at = now
         self.on_answer()
 
 
 def _round_age(since: float | None, now: float) -> float | None:
-    """Returns the seconds since a moment, None where there was none."""
+    """Returns the rounded seconds since a time; None if there is none."""
     return None if since is None else round(now - since, 3)
 
 
-def _tell_nobody() -> None:
-    """Stands in until the peers are known."""
+def _do_nothing() -> None:
+    """Default callback."""
--- a/ramptray/log/stream.py
+++ b/ramptray/log/stream.py
@@ -1,4 +1,4 @@
-"""Reads a stream of the log on and on, whatever the log does."""
+"""Reads a stream of the log page by page, with retries."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 async def iterate_pages(
     source: log_client.Log, stream: str, wait_s: float
 ) -> AsyncIterator[log_client.Page]:
-    """Yields pages from the oldest kept record on, without end.
+    """Yields pages from the oldest retained record on, without end.
 
     Args:
         source: The log.
--- a/ramptray/log/verdictlog.py
+++ b/ramptray/log/verdictlog.py
@@ -1,4 +1,4 @@
-"""Where it is kept what was decided on rollouts."""
+"""Storage of verdicts on rollouts."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class VerdictLog(abc.ABC):
-    """Keeps one verdict on each release of a service."""
+    """Stores one verdict for each release of a service."""
 
     @abc.abstractmethod
     async def save(self, verdict: rollout.Verdict) -> rollout.Verdict:
-        """Keeps a verdict, unless a final one is kept already.
+        """Stores a verdict, unless a final one is stored already.
 
         Returns:
-            The verdict that is kept.
+            The stored verdict.
 
         Raises:
-            LogError: It may not have been kept; it may be tried again.
+            LogError: It may not have been stored; the call may be retried.
         """
--- a/ramptray/log/vmlist.py
+++ b/ramptray/log/vmlist.py
@@ -1,4 +1,4 @@
-"""Client of the platform's lagging list of live and leaving VMs."""
+"""Client of the platform's list of live and leaving VMs, which may be stale."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class VmState(enum.Enum):
-    """What the platform says of a VM."""
+    """A VM's state according to the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -27,7 +27,7 @@
         name: The VM's name; for a backend server its name in the bundle.
         zone: Its availability zone.
         role: ``entry`` or ``backend``.
-        address: For an entry VM, its scheduler's IP number and port.
+        address: For an entry VM, its scheduler's IP address and port.
         state: Live or leaving.
     """
 
@@ -44,27 +44,27 @@
     Args:
         url: Base URL of the platform's services.
         zone: The zone whose VMs are listed.
-        agent: How this process names itself to the platform.
+        agent: This process's user agent.
     """
 
     def __init__(self, url: str, zone: str, agent: str) -> None:
         self._url = f"{url.rstrip('/')}/vms?zone={zone}"
         self._agent = agent
         self._pool = httpcore.AsyncConnectionPool(max_connections=2)
-        self._tag = ""
+        self._etag = ""
         self._vms: list[Vm] = []
 
     async def fetch(self) -> list[Vm]:
-        """Returns the list, as old as the platform's lag makes it.
+        """Returns the list, which may be stale.
 
-        The list is sent only when it has changed since the last time.
+        A conditional request transfers it only after a change.
 
         Raises:
-            log_client.PlatformError: There is no good answer.
+            log_client.PlatformError: There is no valid response.
         """
         headers = [("user-agent", self._agent)]
-        if self._tag:
-            headers.append(("if-none-match", self._tag))
+        if self._etag:
+            headers.append(("if-none-match", self._etag))
         response = await log_client.send_request(
             self._pool, "GET", self._url, TIMEOUT_S, headers
         )
@@ -74,16 +74,16 @@
             raise log_client.PlatformError(
                 f"{self._url}: status {response.status}"
             )
-        answer = log_client.decode_response(response, self._url)
+        vms = log_client.decode_response(response, self._url)
         try:
-            self._vms = msgspec.convert(answer, list[Vm])
+            self._vms = msgspec.convert(vms, list[Vm])
         except msgspec.ValidationError as error:
             raise log_client.PlatformError(f"{self._url}: {error}") from error
-        self._tag = _find_tag(response)
+        self._etag = _find_etag(response)
         return self._vms
 
 
-def _find_tag(response: httpcore.Response) -> str:
+def _find_etag(response: httpcore.Response) -> str:
     for name, value in response.headers:
         if name.lower() == b"etag":
             return value.decode("latin-1")
--- a/test/test_mirror.py
+++ b/test/test_mirror.py
@@ -1,4 +1,4 @@
-"""What VMs tell one another of a keyed stream."""
+"""Updates of a keyed stream between VMs."""
 
 from __future__ import annotations
 
@@ -27,91 +27,91 @@
     return made
 
 
-def pass_on(
-    teller: mirror.Mirror, asker: mirror.Mirror
+def send_update(
+    sender: mirror.Mirror, receiver: mirror.Mirror
 ) -> peer_message.StreamNews:
-    """Brings one mirror up to another; returns what was told."""
-    start = -1 if asker.end is None else asker.end
-    news = teller.make_update("s", start)
-    sent = codec.decode(codec.encode(0, peer_message.ToldStreams([news])))
-    (told,) = sent.body.news
-    asker.apply(asker.unpack(told), told.whole)
-    return news
+    """Brings the receiver up to date; returns the update sent."""
+    start = -1 if receiver.end is None else receiver.end
+    update = sender.make_update("s", start)
+    sent = codec.decode(codec.encode(0, peer_message.ToldStreams([update])))
+    (received,) = sent.body.news
+    receiver.apply(receiver.unpack(received), received.whole)
+    return update
 
 
 def read_all(held: mirror.Mirror) -> dict[str, bytes | None]:
-    told = held.make_update("s", -1)
+    update = held.make_update("s", -1)
     fresh = mirror.Mirror()
-    return {c.key: c.value for c in fresh.unpack(told).records}
+    return {c.key: c.value for c in fresh.unpack(update).records}
 
 
-def count_bytes(news: peer_message.StreamNews) -> int:
-    return len(codec.encode(0, peer_message.ToldStreams([news])))
+def count_bytes(update: peer_message.StreamNews) -> int:
+    return len(codec.encode(0, peer_message.ToldStreams([update])))
 
 
-def test_a_change_of_a_large_value_is_told_as_its_difference() -> None:
-    teller = make_mirror(keyedstream.Change("config", make_large(1), 0))
-    asker = mirror.Mirror()
-    first = pass_on(teller, asker)
+def test_a_changed_large_value_is_sent_as_a_difference() -> None:
+    sender = make_mirror(keyedstream.Change("config", make_large(1), 0))
+    receiver = mirror.Mirror()
+    first = send_update(sender, receiver)
     assert count_bytes(first) < len(make_large(1)) / 3
     for version in range(2, 5):
         change = keyedstream.Change("config", make_large(version), version - 1)
-        teller.apply(keyedstream.Changes([change], version), False)
-    # Three versions later: still the difference of the newest alone.
-    assert count_bytes(pass_on(teller, asker)) < 400
-    assert read_all(asker) == {"config": make_large(4)}
+        sender.apply(keyedstream.Changes([change], version), False)
+    # Three versions behind: a single difference, to the newest version.
+    assert count_bytes(send_update(sender, receiver)) < 400
+    assert read_all(receiver) == {"config": make_large(4)}
 
 
-def test_who_is_too_far_behind_is_told_the_value_whole() -> None:
-    teller = make_mirror(keyedstream.Change("config", make_large(1), 0))
-    asker = mirror.Mirror()
-    pass_on(teller, asker)
+def test_a_receiver_too_far_behind_gets_the_whole_value() -> None:
+    sender = make_mirror(keyedstream.Change("config", make_large(1), 0))
+    receiver = mirror.Mirror()
+    send_update(sender, receiver)
     for version in range(2, 4 + mirror.MAX_FORMER_VALUES):
         change = keyedstream.Change("config", make_large(version), version - 1)
-        teller.apply(keyedstream.Changes([change], version), False)
-    pass_on(teller, asker)
-    assert read_all(asker) == read_all(teller)
+        sender.apply(keyedstream.Changes([change], version), False)
+    send_update(sender, receiver)
+    assert read_all(receiver) == read_all(sender)
 
 
-def test_dropped_keys_are_told() -> None:
-    teller = make_mirror(
+def test_deleted_keys_are_sent() -> None:
+    sender = make_mirror(
         *(keyedstream.Change(k, b"v", n) for n, k in enumerate("ab"))
     )
-    asker = mirror.Mirror()
-    pass_on(teller, asker)
-    teller.apply(
+    receiver = mirror.Mirror()
+    send_update(sender, receiver)
+    sender.apply(
         keyedstream.Changes([keyedstream.Change("a", None, 2)], 3), False
     )
-    told = pass_on(teller, asker)
-    assert [(r.key, r.value) for r in told.records] == [("a", None)]
-    assert read_all(asker) == {"b": b"v"}
+    update = send_update(sender, receiver)
+    assert [(r.key, r.value) for r in update.records] == [("a", None)]
+    assert read_all(receiver) == {"b": b"v"}
 
 
-def test_drops_that_are_not_remembered_are_not_missed() -> None:
-    teller = make_mirror(
+def test_a_receiver_behind_the_tombstones_gets_the_whole_stream() -> None:
+    sender = make_mirror(
         *(keyedstream.Change(k, b"v", n) for n, k in enumerate("ab"))
     )
-    asker = mirror.Mirror()
-    pass_on(teller, asker)
+    receiver = mirror.Mirror()
+    send_update(sender, receiver)
     count = 2
     for number in range(mirror.MAX_TOMBSTONES + 5):
         key = "a" if number == 0 else f"k{number}"
         change = keyedstream.Change(key, None, count)
-        teller.apply(keyedstream.Changes([change], count + 1), False)
+        sender.apply(keyedstream.Changes([change], count + 1), False)
         count += 1
-    assert pass_on(teller, asker).whole
-    assert read_all(asker) == {"b": b"v"}
+    assert send_update(sender, receiver).whole
+    assert read_all(receiver) == {"b": b"v"}
 
 
-def test_a_damaged_value_is_not_taken() -> None:
+def test_a_damaged_value_is_rejected() -> None:
     first = keyedstream.Change("first", b"1", 0)
-    teller, asker = make_mirror(first), make_mirror(first)
+    sender, receiver = make_mirror(first), make_mirror(first)
     config = keyedstream.Change("config", make_large(1), 1)
-    teller.apply(keyedstream.Changes([config], 2), False)
-    news = teller.make_update("s", 1)
-    (change,) = asker.unpack(news).records
+    sender.apply(keyedstream.Changes([config], 2), False)
+    update = sender.make_update("s", 1)
+    (change,) = receiver.unpack(update).records
     assert change.value == make_large(1)
-    (record,) = news.records
+    (record,) = update.records
     assert record.value is not None
     for damaged in (
         msgspec.structs.replace(record, value=record.value[:-9]),
@@ -119,19 +119,19 @@
         msgspec.structs.replace(record, digest=7),
         msgspec.structs.replace(record, base=5),
     ):
-        told = msgspec.structs.replace(news, records=[damaged])
+        damaged_update = msgspec.structs.replace(update, records=[damaged])
         with pytest.raises(mirror.MirrorError):
-            asker.unpack(told)
+            receiver.unpack(damaged_update)
 
 
-def test_news_that_leave_records_out_are_not_taken() -> None:
-    asker = make_mirror(keyedstream.Change("a", b"1", 0))
+def test_an_update_that_omits_records_is_rejected() -> None:
+    receiver = make_mirror(keyedstream.Change("a", b"1", 0))
     ahead = peer_message.StreamNews("s", 5, [], 9, False)
     with pytest.raises(mirror.MirrorError, match="not held"):
-        asker.unpack(ahead)
-    lying = peer_message.StreamNews("s", 1, [], 9, False)
+        receiver.unpack(ahead)
+    incomplete = peer_message.StreamNews("s", 1, [], 9, False)
     with pytest.raises(mirror.MirrorError, match="missing"):
-        asker.unpack(lying)
+        receiver.unpack(incomplete)
 
 
 KEYS = st.sampled_from("abc")
@@ -141,45 +141,45 @@
     st.integers(0, 9).map(lambda n: (b"large %d " % n) * 400),
 )
 STEPS = st.lists(
-    st.one_of(st.tuples(KEYS, VALUES), st.just("ask")), max_size=30
+    st.one_of(st.tuples(KEYS, VALUES), st.just("update")), max_size=30
 )
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(STEPS)
-def test_whoever_asks_holds_the_same(steps: list[Any]) -> None:
-    teller, asker, count = make_mirror(), mirror.Mirror(), 0
+def test_a_receiver_holds_the_same_records(steps: list[Any]) -> None:
+    sender, receiver, count = make_mirror(), mirror.Mirror(), 0
     for step in steps:
-        if step == "ask":
-            pass_on(teller, asker)
-            assert read_all(asker) == read_all(teller)
+        if step == "update":
+            send_update(sender, receiver)
+            assert read_all(receiver) == read_all(sender)
             continue
         change = keyedstream.Change(step[0], step[1], count)
         count += 1
-        teller.apply(keyedstream.Changes([change], count), False)
+        sender.apply(keyedstream.Changes([change], count), False)
 
 
-# Many VMs that start at once.
+# Many VMs start at the same time.
 
 
 def make_replicas(count: int) -> list[keyedstream.Change]:
     """Returns the records of a deployment's backend servers."""
-    chance = random.Random(1)
+    rng = random.Random(1)
     return [
         keyedstream.Change(
-            f"i-{chance.getrandbits(40):010x}",
+            f"i-{rng.getrandbits(40):010x}",
             json.dumps(
                 {
                     "service": "lm",
-                    "address": f"10.{chance.randrange(4)}.{number % 250}.7:80",
-                    "zone": chance.choice(["waw-a", "waw-b"]),
+                    "address": f"10.{rng.randrange(4)}.{number % 250}.7:80",
+                    "zone": rng.choice(["waw-a", "waw-b"]),
                     "version": "v1",
                     "slots": 4,
                     "state": "ready",
                     "coldMs": 0,
                     "stage": "both",
                     "models": [{"name": "m", "version": 1, "adapters": []}],
-                    "seq": chance.randrange(100),
+                    "seq": rng.randrange(100),
                 }
             ).encode(),
             number,
@@ -188,28 +188,28 @@
     ]
 
 
-def test_thousands_of_records_fit_a_slow_link_and_are_packed_once() -> None:
+def test_a_whole_stream_fits_a_slow_link_and_is_packed_once() -> None:
     changes = make_replicas(3000)
-    teller = make_mirror(*changes)
-    first, second = (teller.make_update("s", -1) for _ in range(2))
+    sender = make_mirror(*changes)
+    first, second = (sender.make_update("s", -1) for _ in range(2))
     assert first.packed is second.packed
-    # A link of 5 Mbit/s carries 200 KB in the time that an answer may take.
+    # A 5 Mbit/s link transfers 200 KB within the time limit of a response.
     assert count_bytes(first) < 200_000
-    assert read_all(teller) == {c.key: c.value for c in changes}
+    assert read_all(sender) == {c.key: c.value for c in changes}
 
 
-def test_a_new_record_is_told_to_who_asks_for_all_after_it() -> None:
-    teller = make_mirror(*make_replicas(3))
-    teller.make_update("s", -1)
+def test_a_new_record_is_part_of_the_next_whole_stream() -> None:
+    sender = make_mirror(*make_replicas(3))
+    sender.make_update("s", -1)
     late = keyedstream.Change("late", b"{}", 3)
-    teller.apply(keyedstream.Changes([late], 4), False)
-    assert read_all(teller)["late"] == b"{}"
-    assert teller.make_update("s", -1).end == 4
+    sender.apply(keyedstream.Changes([late], 4), False)
+    assert read_all(sender)["late"] == b"{}"
+    assert sender.make_update("s", -1).end == 4
 
 
 @pytest.mark.parametrize("damage", [b"", b"x", b"\x28\xb5\x2f\xfd\x00"])
-def test_a_damaged_whole_stream_is_not_taken(damage: bytes) -> None:
-    told = make_mirror(*make_replicas(3)).make_update("s", -1)
-    damaged = msgspec.structs.replace(told, packed=damage)
+def test_a_damaged_whole_stream_is_rejected(damage: bytes) -> None:
+    update = make_mirror(*make_replicas(3)).make_update("s", -1)
+    damaged = msgspec.structs.replace(update, packed=damage)
     with pytest.raises(mirror.MirrorError):
         mirror.Mirror().unpack(damaged)
--- a/test/test_reader.py
+++ b/test/test_reader.py
@@ -1,4 +1,4 @@
-"""How a reader of the log tells a read that waits from one that was lost."""
+"""Detection of lost reads of the log."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
     return "asyncio"
 
 
-def _ignore() -> None:
-    """Stands in where bytes are not told of."""
+def _do_nothing() -> None:
+    """Default callback."""
 
 
 class Log:
-    """A log in memory that may be silent or slow.
+    """A log in memory that may be unresponsive or slow.
 
     Attributes:
-        count: Records that it has.
-        silent: Whether calls that arrive now are never answered.
-        delay_s: How long each answer takes, in seconds.
-        calls: When each call arrived.
-        on_bytes: Called while a slow answer is on its way.
+        count: Number of its records.
+        unresponsive: Whether calls that arrive now are never answered.
+        delay_s: Duration of each answer, in seconds.
+        calls: Arrival times of the calls.
+        on_bytes: Called repeatedly while a slow answer is being sent.
     """
 
     def __init__(self) -> None:
         self.count = 1
-        self.silent = False
+        self.unresponsive = False
         self.delay_s = 0.0
         self.calls: list[float] = []
-        self.on_bytes: Callable[[], None] = _ignore
+        self.on_bytes: Callable[[], None] = _do_nothing
         self._changed = anyio.Event()
 
     def append(self) -> None:
@@ -58,7 +58,7 @@
             raise error.LogTimeoutError("no answer") from timeout
 
     async def _answer(self, offset: int, wait_s: float) -> client.Page:
-        if self.silent:
+        if self.unresponsive:
             await anyio.sleep_forever()
         if self.count <= offset:
             with anyio.move_on_after(wait_s):
@@ -68,13 +68,14 @@
             await anyio.sleep(min(0.1, self.delay_s))
             self.on_bytes()
         records = [
-            client.LogRecord(place, {}) for place in range(offset, self.count)
+            client.LogRecord(position, {})
+            for position in range(offset, self.count)
         ]
         return client.Page(0, self.count, records)
 
 
 class Reader(reader.StreamReader[client.Page]):
-    """Notes what it has read."""
+    """Records when each record was read."""
 
     def __init__(self, log: Log) -> None:
         super().__init__("s", LONGEST_WAIT_S, batch_delay_s=0.0)
@@ -105,137 +106,141 @@
         return len(page.records)
 
     async def wait_for(self, offset: int, within_s: float) -> None:
-        """Waits until a record was read."""
+        """Waits until a record is read."""
         with anyio.fail_after(within_s):
             while offset not in self.read_at:
                 await anyio.sleep(0.01)
 
 
-async def lose_read(log: Log, followed: Reader) -> None:
-    """Makes the read that waits one that is never answered."""
-    await followed.wait_for(0, 1.0)
-    log.silent = True
+async def lose_read(log: Log, stream_reader: Reader) -> None:
+    """Makes the pending read one that the log never answers."""
+    await stream_reader.wait_for(0, 1.0)
+    log.unresponsive = True
     log.append()
-    await followed.wait_for(log.count - 1, 1.0)
+    await stream_reader.wait_for(log.count - 1, 1.0)
     await anyio.sleep(0.05)
-    log.silent = False
+    log.unresponsive = False
     log.append()
 
 
-async def test_a_watcher_finds_a_lost_read_by_itself() -> None:
+async def test_a_watching_vm_detects_a_lost_read_by_itself() -> None:
     log = Log()
-    followed = Reader(log)
-    followed.set_watching(True)
+    stream_reader = Reader(log)
+    stream_reader.set_watching(True)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(followed.run)
-        await lose_read(log, followed)
+        tasks.start_soon(stream_reader.run)
+        await lose_read(log, stream_reader)
         limit_s = reader.WATCH_WAIT_S + reader.RESPONSE_MARGIN_S + 0.2
-        await followed.wait_for(2, limit_s)
+        await stream_reader.wait_for(2, limit_s)
         tasks.cancel_scope.cancel()
 
 
-async def test_others_find_it_by_what_a_peer_has_read() -> None:
+async def test_other_vms_detect_a_lost_read_by_a_peers_progress() -> None:
     log = Log()
-    followed = Reader(log)
-    news: list[float] = []
-    followed.on_advance = lambda: news.append(time.monotonic())
+    stream_reader = Reader(log)
+    advances: list[float] = []
+    stream_reader.on_advance = lambda: advances.append(time.monotonic())
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(followed.run)
-        await lose_read(log, followed)
+        tasks.start_soon(stream_reader.run)
+        await lose_read(log, stream_reader)
         await anyio.sleep(reader.LOST_READ_AFTER_S)
-        assert 2 not in followed.read_at
-        followed.update_known_end(log.count)
-        followed.check_pending_read()
+        assert 2 not in stream_reader.read_at
+        stream_reader.update_known_end(log.count)
+        stream_reader.check_pending_read()
         await anyio.sleep(reader.LOST_READ_AFTER_S + 0.05)
-        followed.check_pending_read()
-        await followed.wait_for(2, 0.2)
+        stream_reader.check_pending_read()
+        await stream_reader.wait_for(2, 0.2)
         tasks.cancel_scope.cancel()
-    # Those that are told next learn it from here, not from the watcher alone.
-    assert len(news) == 1
+    # This VM passes the new end on, so that not only the watching VM does.
+    assert len(advances) == 1
 
 
-async def test_what_a_peer_has_read_ends_no_sound_read() -> None:
+async def test_a_peers_progress_does_not_abandon_a_working_read() -> None:
     log = Log()
-    followed = Reader(log)
+    stream_reader = Reader(log)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(followed.run)
-        await followed.wait_for(0, 1.0)
+        tasks.start_soon(stream_reader.run)
+        await stream_reader.wait_for(0, 1.0)
         await anyio.sleep(reader.LOST_READ_AFTER_S)
         log.append()
-        await followed.wait_for(1, 0.2)
+        await stream_reader.wait_for(1, 0.2)
         calls = len(log.calls)
         for end in (1, log.count):
-            followed.update_known_end(end)
-            followed.check_pending_read()
+            stream_reader.update_known_end(end)
+            stream_reader.check_pending_read()
         await anyio.sleep(0.1)
         assert len(log.calls) <= calls + 1
         tasks.cancel_scope.cancel()
 
 
-async def test_a_call_into_a_silent_log_is_repeated_until_it_is_back() -> None:
-    # A call that fell into the silence is never answered, so what the log has
-    # would be learned as late as that call's own timeout of three seconds.
+async def test_a_call_to_an_unresponsive_log_is_repeated() -> None:
+    # The log never answers calls that it received while it was unresponsive.
+    # Without repeats its records would arrive only after the timeout of such a
+    # call, three seconds.
     log = Log()
-    log.silent = True
-    followed = Reader(log)
+    log.unresponsive = True
+    stream_reader = Reader(log)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(followed.run)
+        tasks.start_soon(stream_reader.run)
         await anyio.sleep(3 * hedging.HEDGE_DELAY_S - 0.1)
-        assert followed.in_outage
-        log.silent = False
-        await followed.wait_for(0, 0.3)
+        assert stream_reader.in_outage
+        log.unresponsive = False
+        await stream_reader.wait_for(0, 0.3)
         await anyio.sleep(0)
-        assert not followed.in_outage
+        assert not stream_reader.in_outage
         tasks.cancel_scope.cancel()
     assert len(log.calls) <= 5
 
 
-async def test_a_log_slower_than_the_repeats_is_read_all_the_same() -> None:
+async def test_a_log_slower_than_the_hedge_delay_is_read() -> None:
     log = Log()
     log.delay_s = 2 * hedging.HEDGE_DELAY_S
-    followed = Reader(log)
+    stream_reader = Reader(log)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(followed.run)
-        await followed.wait_for(0, log.delay_s + 0.2)
+        tasks.start_soon(stream_reader.run)
+        await stream_reader.wait_for(0, log.delay_s + 0.2)
         log.append()
-        # Told late by a read that waits, or asked for anew.
-        await followed.wait_for(1, 2 * log.delay_s + reader.RESPONSE_MARGIN_S)
+        # Returned late by the pending read, or by a new one.
+        await stream_reader.wait_for(
+            1, 2 * log.delay_s + reader.RESPONSE_MARGIN_S
+        )
         tasks.cancel_scope.cancel()
 
 
-async def test_a_large_answer_on_a_slow_link_is_not_asked_for_twice() -> None:
-    # A configuration with hundreds of routes took longer than the repeats; each
-    # repeat made the link slower, and what a peer had read ended sound reads.
+async def test_a_large_answer_on_a_slow_link_is_not_requested_twice() -> None:
+    # A configuration with hundreds of routes takes longer than the hedge delay.
+    # Each repeat slows the link further, and a peer's progress would abandon
+    # working reads.
     log = Log()
-    followed = Reader(log)
-    log.on_bytes = followed.record_progress
+    stream_reader = Reader(log)
+    log.on_bytes = stream_reader.record_progress
     log.delay_s = 3 * hedging.HEDGE_DELAY_S
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(followed.run)
+        tasks.start_soon(stream_reader.run)
         await anyio.sleep(2 * hedging.HEDGE_DELAY_S)
-        assert not followed.in_outage
-        await followed.wait_for(0, 2 * hedging.HEDGE_DELAY_S)
+        assert not stream_reader.in_outage
+        await stream_reader.wait_for(0, 2 * hedging.HEDGE_DELAY_S)
         await anyio.sleep(0.1)
-        # One call for each answer, and the read that waits for the next.
+        # One call for the answer, and the pending read for the next one.
         assert len(log.calls) == 2
         log.append()
         await anyio.sleep(0.1)
-        followed.update_known_end(2)
+        stream_reader.update_known_end(2)
         for _ in range(8):
             await anyio.sleep(0.2)
-            followed.check_pending_read()
-        await followed.wait_for(1, 2 * log.delay_s)
+            stream_reader.check_pending_read()
+        await stream_reader.wait_for(1, 2 * log.delay_s)
         await anyio.sleep(0.1)
         assert len(log.calls) == 3
         tasks.cancel_scope.cancel()
 
 
-async def test_a_vm_that_begins_to_watch_reads_at_once() -> None:
+async def test_a_vm_that_starts_to_watch_reads_at_once() -> None:
     log = Log()
-    followed = Reader(log)
+    stream_reader = Reader(log)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(followed.run)
-        await lose_read(log, followed)
-        followed.set_watching(True)
-        await followed.wait_for(2, 0.2)
+        tasks.start_soon(stream_reader.run)
+        await lose_read(log, stream_reader)
+        stream_reader.set_watching(True)
+        await stream_reader.wait_for(2, 0.2)
         tasks.cancel_scope.cancel()
