--- a/ramptray/peer/attachment.py
+++ b/ramptray/peer/attachment.py
@@ -1,4 +1,4 @@
-"""The task that keeps a process attached to one scheduler."""
+"""Keeps a process attached to one scheduler."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class LinkOpened(msgspec.Struct, frozen=True):
-    """The link to a scheduler is open and nothing was sent on it yet."""
+    """A link to a scheduler is open; only the greeting was sent so far."""
 
     address: str
 
 
 class LinkClosed(msgspec.Struct, frozen=True):
-    """The link to a scheduler is broken; what was queued is dropped."""
+    """A link to a scheduler is broken; queued messages were dropped."""
 
     address: str
 
@@ -45,8 +45,8 @@
 class Attachment:
     """Keeps a link to one scheduler open, and reopens it when it breaks.
 
-    What is sent while the link is down is dropped: when it is up again the
-    dispatcher tells the scheduler everything anew.
+    Messages sent while the link is down are dropped: when it is up again, the
+    dispatcher sends its whole state to the scheduler.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._scope = anyio.CancelScope()
 
     def send(self, body: Any) -> None:
-        """Queues a message if the link is up."""
+        """Queues a message if the link is up; a full queue closes the link."""
         if self._queue is None:
             return
         with contextlib.suppress(
@@ -76,26 +76,26 @@
                 self._queue.close()
 
     def stop(self) -> None:
-        """Closes the link for good."""
+        """Closes the link permanently."""
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Keeps the link until it is stopped."""
+        """Keeps the link open until ``stop`` is called."""
         with self._scope:
             while True:
                 try:
-                    await self._hold()
+                    await self._run_link()
                 except* peer_link.LinkError as group:
                     LOG.debug("link down: %s", group.exceptions[0])
                 self._queue = None
                 self._report(LinkClosed(self.address))
                 await anyio.sleep(RECONNECT_DELAY_S)
 
-    async def _hold(self) -> None:
-        async with self._client.attach(self.address) as opened:
-            await opened.send(self._hello)
-            # The scheduler answers a greeting at once with what it knows.
-            first = await opened.receive()
+    async def _run_link(self) -> None:
+        async with self._client.attach(self.address) as link:
+            await link.send(self._hello)
+            # The scheduler responds to the greeting with its view at once.
+            first = await link.receive()
             send, receive = anyio.create_memory_object_stream[Any](
                 MAX_QUEUED_MESSAGES
             )
@@ -103,13 +103,13 @@
             self._report(LinkOpened(self.address))
             self._report(MessageReceived(self.address, first))
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._read, opened)
+                tasks.start_soon(self._read, link)
                 async for body in receive:
-                    waiting = peer_link.drain_queue(body, receive)
-                    await opened.send(*waiting)
+                    bodies = peer_link.drain_queue(body, receive)
+                    await link.send(*bodies)
                 raise peer_link.LinkError(f"{self.address}: queue overflow")
 
-    async def _read(self, opened: peer_link.Link) -> None:
+    async def _read(self, link: peer_link.Link) -> None:
         while True:
-            body = await opened.receive()
+            body = await link.receive()
             self._report(MessageReceived(self.address, body))
--- a/ramptray/peer/codec.py
+++ b/ramptray/peer/codec.py
@@ -17,10 +17,10 @@
 
 LOG = logging.getLogger(__name__)
 
-MAX_UNKNOWN = 32
-"""Unknown kinds of messages that are logged at most."""
+MAX_LOGGED_KINDS = 32
+"""Number of unknown message kinds to log, as peers choose their names."""
 
-_unknown: set[str] = set()
+_logged_kinds: set[str] = set()
 _KINDS: dict[str, type[Any]] = {
     kind.__name__: kind
     for kind in itertools.chain(
@@ -76,15 +76,15 @@
 
 
 class CodecError(Exception):
-    """Bytes from a peer that are not a message."""
+    """Bytes from a peer are not a valid frame."""
 
 
 class Frame(msgspec.Struct, frozen=True):
-    """Decoded messages with their sender's clock.
+    """Decoded messages and their sender's clock.
 
     Attributes:
-        clock: The clock.
-        bodies: The messages in the order in which they were sent.
+        clock: The sender's hybrid logical clock.
+        bodies: The messages, in the order in which they were sent.
     """
 
     clock: int
@@ -92,30 +92,30 @@
 
     @property
     def body(self) -> Any:
-        """The only message of a frame that holds one.
+        """The message of a frame that holds exactly one.
 
         Raises:
-            CodecError: It holds none, or several.
+            CodecError: The frame holds none or several.
         """
         if len(self.bodies) != 1:
-            raise CodecError(f"{len(self.bodies)} messages instead of one")
+            raise CodecError(f"expected one message, got {len(self.bodies)}")
         return self.bodies[0]
 
 
 def encode(clock: int, *bodies: Any) -> bytes:
-    """Returns messages as the bytes of one frame."""
+    """Returns messages encoded as one frame."""
     named = [(type(body).__name__, body) for body in bodies]
     return _ENCODER.encode((clock, named))
 
 
 def decode(data: bytes) -> Frame:
-    """Returns the messages in the bytes.
+    """Returns the messages of an encoded frame.
 
-    Messages of kinds that are not known are left out: while VMs of two
-    versions run side by side, the newer one sends them.
+    Messages of unknown kinds are left out: VMs of a newer version send them
+    while two versions run side by side.
 
     Raises:
-        CodecError: The bytes are not valid messages.
+        CodecError: The bytes are not a valid frame.
     """
     try:
         clock, named = _FRAME_DECODER.decode(data)
@@ -124,18 +124,18 @@
             [
                 _DECODERS[name].decode(raw)
                 for name, raw in named
-                if _knows(name)
+                if _is_known(name)
             ],
         )
     except msgspec.MsgspecError as error:
         raise CodecError(f"not a valid message: {error}") from error
 
 
-def _knows(kind: str) -> bool:
-    """Returns whether a kind of message is known; logs others once."""
+def _is_known(kind: str) -> bool:
+    """Returns whether a message kind is known; logs each unknown kind once."""
     if kind in _DECODERS:
         return True
-    if kind not in _unknown and len(_unknown) < MAX_UNKNOWN:
-        _unknown.add(kind)
+    if kind not in _logged_kinds and len(_logged_kinds) < MAX_LOGGED_KINDS:
+        _logged_kinds.add(kind)
         LOG.warning("unknown message left out", extra={"kind": kind[:64]})
     return False
--- a/ramptray/peer/credentials.py
+++ b/ramptray/peer/credentials.py
@@ -1,4 +1,4 @@
-"""Keys of the channels between ramptray's processes, for mutual TLS."""
+"""Credentials for mutual TLS between ramptray's processes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ramptray import settings
 
 
-def _read_keys(tls: settings.TlsSettings) -> tuple[bytes, bytes, bytes]:
+def _read_files(tls: settings.TlsSettings) -> tuple[bytes, bytes, bytes]:
     names = (tls.key_file, tls.certificate_file, tls.authority_file)
     key, certificate, authority = (
         pathlib.Path(name).read_bytes() for name in names
@@ -20,12 +20,12 @@
 def make_server_credentials(
     tls: settings.TlsSettings,
 ) -> grpc.ServerCredentials:
-    """Returns the keys of the serving side; peers must show theirs.
+    """Returns the server's credentials, which require client certificates.
 
     Raises:
         OSError: A file cannot be read.
     """
-    key, certificate, authority = _read_keys(tls)
+    key, certificate, authority = _read_files(tls)
     return grpc.ssl_server_credentials(
         [(key, certificate)],
         root_certificates=authority,
@@ -36,10 +36,10 @@
 def make_client_credentials(
     tls: settings.TlsSettings,
 ) -> grpc.ChannelCredentials:
-    """Returns the keys of the attaching side.
+    """Returns the client's credentials.
 
     Raises:
         OSError: A file cannot be read.
     """
-    key, certificate, authority = _read_keys(tls)
+    key, certificate, authority = _read_files(tls)
     return grpc.ssl_channel_credentials(authority, key, certificate)
--- a/ramptray/peer/link.py
+++ b/ramptray/peer/link.py
@@ -1,7 +1,7 @@
 """The gRPC channel between ramptray's processes.
 
-``Attach`` is a stream in both directions, kept open between an entry (or a
-controller) and a scheduler.  ``Ask`` is one question with one answer.
+``Attach`` is a bidirectional stream that stays open between an entry (or a
+controller) and a scheduler.  ``Ask`` is a unary call.
 """
 
 from __future__ import annotations
@@ -31,15 +31,16 @@
 SERVICE = "ramptray.Peer"
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 IDLE_TIMEOUT_S = 15.0
-"""How long a channel is kept on which nothing is asked, in seconds: neighbours
-are probed every four seconds, and the others of hundreds only by chance.  A
-connection to each would cost descriptors and memory on either side."""
+"""Time after which an idle channel for unary calls is closed, in seconds.
+Neighbours are probed every four seconds, but the others of hundreds of VMs only
+at random: a connection to each would cost descriptors and memory on both
+sides."""
 
 MAX_FRAME_MESSAGES = 64
-"""Messages of one frame at most."""
+"""Limit of messages in one frame."""
 
 MAX_QUEUED_MESSAGES = 10_000
-"""Messages that may wait for a slow peer before its link is cut."""
+"""Limit of messages queued for a slow peer; beyond it the link is closed."""
 
 OPTIONS = [
     ("grpc.max_receive_message_length", MAX_FRAME_BYTES),
@@ -57,25 +58,25 @@
     ("grpc.enable_http_proxy", 0),
     ("grpc.use_local_subchannel_pool", 1),
 ]
-"""How channels are kept: both ends find a silent peer within 2.5 s."""
+"""Channel options; both ends detect an unresponsive peer within 2.5 s."""
 
 
 CONNECTION_ERRORS = (
     grpc.aio.AioRpcError,
     grpc.aio.UsageError,
     grpc.RpcError,
-    # Raised by a write on a stream that has ended a moment before.
+    # Raised by a write to a stream that has just ended.
     asyncio.InvalidStateError,
 )
-"""What the library raises when a peer has gone, in one way or another."""
+"""Errors that grpc raises when the connection to a peer is lost."""
 
 
 class LinkError(Exception):
-    """A peer cannot be reached, or the link to it broke."""
+    """A peer cannot be reached, or the link to it is broken."""
 
 
 class Session:
-    """One attached peer, as the serving side sees it."""
+    """The serving side's session with one attached peer."""
 
     def __init__(self) -> None:
         send, receive = anyio.create_memory_object_stream[Any](
@@ -85,7 +86,7 @@
         self.outgoing: memory.MemoryObjectReceiveStream[Any] = receive
 
     def send(self, body: Any) -> None:
-        """Queues a message; a peer that does not read loses its link."""
+        """Queues a message; closes the session if the queue is full."""
         with contextlib.suppress(
             anyio.ClosedResourceError, anyio.BrokenResourceError
         ):
@@ -100,53 +101,62 @@
 
 
 class Handler(abc.ABC):
-    """What a serving process does with its peers' messages."""
+    """Handles the messages of a serving process's peers."""
 
     @abc.abstractmethod
     async def open(self, session: Session) -> None:
-        """A peer has attached."""
+        """Called when a peer has attached."""
 
     @abc.abstractmethod
     async def receive(self, session: Session, body: Any) -> None:
-        """An attached peer has sent a message."""
+        """Called with each message of an attached peer."""
 
     @abc.abstractmethod
     async def close(self, session: Session) -> None:
-        """An attached peer has gone."""
+        """Called when an attached peer is gone."""
 
     @abc.abstractmethod
     async def answer(self, request: Any) -> Any:
-        """Returns the answer to one question."""
+        """Returns the response to a unary call."""
 
 
 class _SharedChannel(msgspec.Struct):
-    """The channel that all questions to one peer share.
+    """The channel that all unary calls to one peer share.
 
     Attributes:
         channel: The channel.
-        ask: Sends a question on it.
-        pending: Questions that wait for their answer.
-        used_at: When the last one ended.
+        ask: Sends a request on it.
+        underway: Number of pending calls.
+        used_at: When the last call ended.
     """
 
     channel: grpc.aio.Channel
     ask: Any
-    pending: int = 0
+    underway: int = 0
     used_at: float = 0.0
 
     @contextlib.contextmanager
     def use(self) -> Iterator[None]:
-        """Counts a question while it is pending."""
-        self.pending += 1
+        """Counts a call while it is pending."""
+        self.underway += 1
         try:
             yield
         finally:
-            self.pending -= 1
+            self.underway -= 1
             self.used_at = steadyclock.read()
 
 
 class PeerClient:
-    """Opens links to serving peers; questions share a channel an address."""
+    """Calls peers and opens links; unary calls to a peer share a channel.
+
+    Args:
+        hybrid_clock: This process's clock.
+        tls: Settings for mutual TLS; None for plain connections.
+        allowed_peers: Decides which peers can be reached; all by default.
+
+    Attributes:
+        asked_bytes: Bytes sent and received by unary calls.
+    """
 
     def __init__(
         self,
@@ -162,24 +172,24 @@
         self.asked_bytes = 0
 
     def serve_locally(self, address: str, handler: Handler) -> None:
-        """Attaches to this address without a socket: it is this process."""
+        """Makes links to this process's address call its handler directly."""
         self._handlers[address] = handler
 
     async def ask(self, address: str, request: Any, timeout_s: float) -> Any:
-        """Returns the peer's answer.
+        """Returns a peer's response to a request.
 
         Raises:
-            LinkError: There was no answer in time.
+            LinkError: There was no valid response in time.
         """
         _check_allowed(address, self._allowed_peers)
-        shared = self._share_channel(address)
+        shared = self._get_channel(address)
         data = codec.encode(self._clock.tick(), request)
         try:
             with shared.use():
                 async with _translate_cancellation(address):
-                    answer = await shared.ask(data, timeout=timeout_s)
-            self.asked_bytes += len(data) + len(answer)
-            frame = codec.decode(answer)
+                    response = await shared.ask(data, timeout=timeout_s)
+            self.asked_bytes += len(data) + len(response)
+            frame = codec.decode(response)
             body = frame.body
         except (*CONNECTION_ERRORS, codec.CodecError) as error:
             raise LinkError(f"{address}: {_describe(error)}") from error
@@ -188,7 +198,7 @@
 
     @contextlib.asynccontextmanager
     async def attach(self, address: str) -> AsyncIterator[Link]:
-        """Opens a link; it is cut when the context ends.
+        """Opens a link, which is closed when the context ends.
 
         Raises:
             LinkError: The peer cannot be reached.
@@ -199,7 +209,7 @@
             ) as opened:
                 yield opened
             return
-        # A channel of its own: closing it must not end another link's calls.
+        # A separate channel, as closing one ends all calls on it.
         channel = self._open_channel(address)
         try:
             call: Any = channel.stream_stream(f"/{SERVICE}/Attach")(
@@ -218,25 +228,25 @@
 
     @property
     def channel_count(self) -> int:
-        """How many peers there is a channel to for questions."""
+        """Number of open channels for unary calls."""
         return len(self._channels)
 
     async def close_idle(self, now: float) -> None:
-        """Closes channels on which nothing was asked for a while.
+        """Closes channels that were idle for ``IDLE_TIMEOUT_S``.
 
         Args:
-            now: The time, in seconds.
+            now: The current time, in seconds.
         """
         for address, shared in list(self._channels.items()):
-            if not shared.pending and now - shared.used_at > IDLE_TIMEOUT_S:
+            if not shared.underway and now - shared.used_at > IDLE_TIMEOUT_S:
                 await self.close_channel(address)
 
     async def close_channel(self, address: str) -> None:
-        """Closes the channel to a peer; the next question opens another."""
+        """Closes the channel to a peer; the next call opens another."""
         if shared := self._channels.pop(address, None):
             await shared.channel.close()
 
-    def _share_channel(self, address: str) -> _SharedChannel:
+    def _get_channel(self, address: str) -> _SharedChannel:
         if address not in self._channels:
             channel = self._open_channel(address)
             self._channels[address] = _SharedChannel(
@@ -256,13 +266,13 @@
 
 
 class Link(abc.ABC):
-    """The attaching side of a stream of messages."""
+    """The attaching side of a message stream."""
 
     address: str
 
     @abc.abstractmethod
     async def send(self, *bodies: Any) -> None:
-        """Sends messages together.
+        """Sends messages in one frame.
 
         Raises:
             LinkError: The link is broken.
@@ -278,7 +288,7 @@
 
 
 class LocalLink(Link):
-    """A link to a handler of the same process."""
+    """A link to a handler in the same process."""
 
     def __init__(self, address: str, session: Session, handler: Handler):
         self.address = address
@@ -295,7 +305,9 @@
         try:
             return await self._session.outgoing.receive()
         except anyio.EndOfStream as error:
-            raise LinkError(f"{self.address}: the link was ended") from error
+            raise LinkError(
+                f"{self.address}: the session was closed"
+            ) from error
 
 
 @contextlib.asynccontextmanager
@@ -352,7 +364,7 @@
             raise LinkError(f"{self.address}: {_describe(error)}") from error
         _check_allowed(self.address, self._allowed_peers)
         if data is grpc.aio.EOF:
-            raise LinkError(f"{self.address}: the peer ended the link")
+            raise LinkError(f"{self.address}: the peer closed the link")
         try:
             frame = codec.decode(data)
         except codec.CodecError as error:
@@ -364,15 +376,15 @@
 def drain_queue(
     first: Any, queue: memory.MemoryObjectReceiveStream[Any]
 ) -> list[Any]:
-    """Returns a message and those that wait behind it, for one frame.
+    """Returns a message and those queued behind it, for one frame.
 
     Load pattern: a request's messages to its owner come in pairs, and an owner
-    answers many requests in one turn.  Each frame costs either side several
-    system calls and a wake-up of a thread.
+    answers many requests at a time.  Each frame costs both sides several system
+    calls and a thread wake-up.
 
     Args:
-        first: The message that was taken from the queue.
-        queue: Where further ones may wait.
+        first: The message already taken from the queue.
+        queue: The queue.
     """
     bodies = [first]
     with contextlib.suppress(anyio.WouldBlock, anyio.EndOfStream):
@@ -383,17 +395,17 @@
 
 @contextlib.asynccontextmanager
 async def _translate_cancellation(address: str) -> AsyncIterator[None]:
-    """Turns a call's own cancellation into an error of the link.
+    """Translates the cancellation of a call into a ``LinkError``.
 
-    grpc raises ``CancelledError`` when a call was cancelled, by whomever.  To
-    the task it looks like its own cancellation, and it would end unnoticed.
-    Where a scope was cancelled, grpc raises another error than the scope's:
-    the scope does not know it, and it would end the tasks beside this one.
+    grpc raises ``CancelledError`` whoever cancelled the call.  The task would
+    take it for its own cancellation and end silently.  If a scope was
+    cancelled, grpc's error differs from the scope's own: the scope would not
+    recognise it, and the error would cancel the sibling tasks.
     """
     try:
         yield
     except asyncio.CancelledError as error:
-        # Raises the scope's own error, if a scope was cancelled.
+        # Raises the scope's own error if a scope was cancelled.
         await anyio.lowlevel.checkpoint_if_cancelled()
         task = asyncio.current_task()
         if task is not None and task.cancelling():
@@ -403,7 +415,7 @@
 
 def _check_allowed(address: str, allowed_peers: peer_filter.PeerFilter) -> None:
     if not allowed_peers.allows(address):
-        raise LinkError(f"{address}: cut off")
+        raise LinkError(f"{address}: blocked by the peer filter")
 
 
 def _describe(error: Exception) -> str:
--- a/ramptray/peer/message.py
+++ b/ramptray/peer/message.py
@@ -1,4 +1,4 @@
-"""Messages between ramptray's processes beside those of the decision core."""
+"""Messages between ramptray's processes, except those of ``core.message``."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True):
-    """Entry or controller to scheduler: who attaches."""
+    """Entry or controller to scheduler: identifies the attaching process."""
 
     name: str
     vm: str
@@ -19,10 +19,10 @@
 
 
 class View(msgspec.Struct, frozen=True):
-    """Scheduler to an attached process: the schedulers it may use.
+    """Scheduler to attached process: the schedulers it may use.
 
     Attributes:
-        members: Live schedulers of the own zone.
+        members: Live schedulers of the process's own zone.
         others: Some live schedulers of each other zone.
     """
 
@@ -31,19 +31,19 @@
 
 
 class LowestGeneration(msgspec.Struct, frozen=True):
-    """Scheduler to controller: the zone's VMs all work by this or newer."""
+    """Scheduler to controller: oldest generation in force in the zone."""
 
     generation: int
 
 
 class BundleUpdate(msgspec.Struct, frozen=True):
-    """Scheduler to an attached process: the bundle in force."""
+    """Scheduler to attached process: the bundle in force."""
 
     envelope: signature.Envelope
 
 
 class InForceReport(msgspec.Struct, frozen=True):
-    """Attached process to scheduler: the generation it works by."""
+    """Attached process to scheduler: the bundle generation it uses."""
 
     generation: int
 
@@ -56,7 +56,7 @@
 
 
 class ClaimKey(msgspec.Struct, frozen=True):
-    """Entry to scheduler: claim an idempotency key for an attempt.
+    """Entry to scheduler: claims an idempotency key for an attempt.
 
     Attributes:
         key: Digest of customer, service and idempotency key.
@@ -70,14 +70,14 @@
 
 
 class ReleaseKey(msgspec.Struct, frozen=True):
-    """Entry to scheduler: the attempt will never dispatch."""
+    """Entry to scheduler: the attempt will never be dispatched."""
 
     key: str
     attempt: str
 
 
 class FinishKey(msgspec.Struct, frozen=True):
-    """Entry to scheduler: the attempt's answer was whole."""
+    """Entry to scheduler: the attempt's response was complete."""
 
     key: str
     attempt: str
@@ -85,12 +85,12 @@
 
 
 class ClaimDecision(msgspec.Struct, frozen=True):
-    """Scheduler to entry: what the log says of a claim.
+    """Scheduler to entry: a claim's status according to the log.
 
     Attributes:
         attempt: The request's id.
-        verdict: A value of ``core.claim.Verdict``.
-        status: Status of the earlier answer, where there is one.
+        verdict: A value of ``core.claim.ClaimStatus``.
+        status: Status of the earlier response, if there is one.
     """
 
     attempt: str
@@ -99,20 +99,20 @@
 
 
 class Gossip(msgspec.Struct, frozen=True):
-    """Scheduler to scheduler, and back: liveness and recent changes.
+    """Scheduler to scheduler, in both directions: liveness and recent changes.
 
     Attributes:
-        sender: The sender's own record.
+        sender: The sender's own member record.
         updates: Recent changes of the sender's zone.
-        summaries: Shards of any zone, newest known.
+        summaries: The newest known summaries of shards in any zone.
         contacts: Live schedulers of other zones.
-        ends: How far each stream of the log, by its name, is known to reach.
-        digest: The same for senders that know the same living members; 0 for
-            not told.
-        wanted_after: Name after which the sender wants members listed; None
-            if it does not.
-        page: The members that were wanted so.
-        verdicts: What was decided on rollouts, as far as it is final.
+        ends: Highest known end of each log stream, by its name.
+        digest: Digest of the live members that the sender knows; 0 if not
+            sent.
+        wanted_after: Name after which to list members in the response; None
+            to list none.
+        page: The members requested by ``wanted_after``.
+        verdicts: Final verdicts on rollouts.
     """
 
     sender: membership.Member
@@ -127,27 +127,27 @@
 
 
 class FetchBundle(msgspec.Struct, frozen=True):
-    """Scheduler to scheduler: send your bundle in force if it is newer."""
+    """Scheduler to scheduler: requests the bundle in force if it is newer."""
 
     above: int
 
 
 class Replica(msgspec.Struct, frozen=True):
-    """A backend server that tells of itself, outside the bundle.
+    """A backend server that registers itself, outside the bundle.
 
     Attributes:
-        service: The service it works for.
-        address: IP number and port it listens on.
+        service: The service it belongs to.
+        address: IP address and port it listens on.
         zone: Its availability zone.
-        slots: Requests it works on at a time.
-        leaving: Whether it is to get no new work.
-        run: Which of its runs this is: its start, in Unix milliseconds; 0
-            where it does not tell.  A later run knows nothing of this one.
-        position: Where the store keeps its word: what stands later is newer;
-            -1 where that is not known.
-        warm_in_s: Seconds after its word in which it is warm.
+        slots: Number of concurrent requests it accepts.
+        leaving: Whether it must get no new requests.
+        run: Start of its process in Unix milliseconds, which identifies the
+            run; 0 if unknown.  A later run keeps no state of an earlier one.
+        position: Offset of its record in the store, higher for newer records;
+            -1 if unknown.
+        warm_in_s: Seconds from its record until it is warm.
         warm_at: When it is warm, on this VM's steady clock.
-        release: The release of its software; empty where it does not tell.
+        release: The release of its software; empty if unknown.
     """
 
     service: str
@@ -162,10 +162,10 @@
     release: str = ""
 
     def is_older(self, other: Replica) -> bool:
-        """Returns whether this word was overtaken by the other.
+        """Returns whether this record is superseded by the other.
 
-        A clock that was set back makes a later run look earlier, so the
-        store's order goes before the starts.
+        If a clock was set back, a later run looks earlier, so the store's order
+        takes precedence over the start times.
         """
         if min(self.position, other.position) >= 0:
             return self.position < other.position
@@ -173,10 +173,10 @@
 
 
 class FetchedBundle(msgspec.Struct, frozen=True):
-    """Answer to ``FetchBundle``.
+    """Response to ``FetchBundle``.
 
     Attributes:
-        envelope: The bundle, if it is newer than asked.
+        envelope: The bundle; None if it is not newer than requested.
     """
 
     envelope: signature.Envelope | None
@@ -187,12 +187,12 @@
 
     Attributes:
         key: Its key.
-        position: Its offset; -1 where that is not known.
-        value: Its value, packed where there is a digest; None where the key
-            was dropped.
+        position: Its offset; -1 if unknown.
+        value: Its value, packed if there is a digest; None if the key was
+            deleted.
         base: Offset of the record of this key that the packed value is the
-            difference to; -1 for none.
-        digest: Digest of the value that was packed; None where it was not.
+            difference from; -1 for none.
+        digest: Digest of the unpacked value; None if it is not packed.
     """
 
     key: str
@@ -203,20 +203,20 @@
 
 
 class StreamNews(msgspec.Struct, frozen=True):
-    """What somebody lacks of a keyed stream.
+    """Update of a keyed stream for a VM that is behind.
 
     Attributes:
         stream: The stream's name.
-        start: Offset from which on records are told.
-        records: The newest record of each key, by their offsets.
-        end: Offset that the next record will get.
-        whole: Whether the records are all there are.
-        age_s: How long ago the log had nothing beyond the end, in seconds.
-        trouble_s: How long ago it last did not answer whoever read it, in
-            seconds; None for never.
-        returned_s: How long ago it answered again after that; likewise.
+        start: Offset from which on records are sent.
+        records: The newest record of each key, ordered by offset.
+        end: Offset of the next record.
+        whole: Whether the records are the whole stream.
+        age_s: Seconds since the log had no records beyond the end.
+        trouble_s: Seconds since the log last failed to answer its reader; None
+            for never.
+        returned_s: Seconds since it answered again; None for never.
         packed: The records of a whole stream, encoded and packed together; None
-            where they stand in ``records``.
+            if they are in ``records``.
     """
 
     stream: str
@@ -231,13 +231,13 @@
 
 
 class FollowStreams(msgspec.Struct, frozen=True):
-    """VM to VM: tell what the log's streams have beyond these offsets.
+    """VM to VM: requests the records of streams from these offsets on.
 
     Attributes:
-        ends: Up to which offset each stream is held; -1 for nothing.
-        known_s: How old what the asker was told is, in seconds: an answer that
-            makes it younger is due also where there are no records.
-        wait_s: How long to wait for such an answer, in seconds.
+        ends: Offset up to which the requester holds each stream; -1 for none.
+        known_s: Age of the log's state known to the requester, in seconds: a
+            response with a more recent state is due even without records.
+        wait_s: How long to wait for such a response, in seconds.
     """
 
     ends: dict[str, int]
@@ -246,47 +246,47 @@
 
 
 class ToldStreams(msgspec.Struct, frozen=True):
-    """Answer to ``FollowStreams``; streams that are not held are left out."""
+    """Response to ``FollowStreams``, without streams that are not held."""
 
     news: list[StreamNews]
 
 
 class BlockedContents(msgspec.Struct, frozen=True):
-    """Scheduler to entry and back: contents that end backend servers.
+    """Scheduler to entry, or back: blocked contents, which crash servers.
 
-    Also the answer to ``ListBlocks`` and ``LiftBlock``.
+    Also the response to ``ListBlocks`` and ``LiftBlock``.
     """
 
     blocks: list[blocklist.BlockUpdate]
 
 
 class ListBlocks(msgspec.Struct, frozen=True):
-    """Operator's command to scheduler: which contents are blocked."""
+    """Operator's command to scheduler: lists blocked contents."""
 
 
 class LiftBlock(msgspec.Struct, frozen=True):
-    """Operator's command to scheduler: serve a content again."""
+    """Operator's command to scheduler: lifts the block of a content."""
 
     content: str
 
 
 class AskStatus(msgspec.Struct, frozen=True):
-    """Operator's command to scheduler: what do you see."""
+    """Operator's command to scheduler: requests its status."""
 
 
 class Status(msgspec.Struct, frozen=True):
-    """Answer to ``AskStatus``: a report ready to be shown as JSON."""
+    """Response to ``AskStatus``: a report that can be shown as JSON."""
 
     report: dict[str, Any]
 
 
 class AskTimeline(msgspec.Struct, frozen=True):
-    """Operator's command to scheduler, or scheduler to an attached process.
+    """Operator to scheduler, or scheduler to attached process: requests events.
 
     Attributes:
         after: Only events with a later clock value.
         subject: Only events about this request, backend server or bundle.
-        ticket: Tells apart the questions to an attached process.
+        ticket: Identifies a request to an attached process.
     """
 
     after: int
@@ -295,11 +295,11 @@
 
 
 class TimelineEvents(msgspec.Struct, frozen=True):
-    """Answer to ``AskTimeline``.
+    """Response to ``AskTimeline``.
 
     Attributes:
         events: Events, oldest first.
-        ticket: The question's ticket.
+        ticket: The request's ticket.
     """
 
     events: list[dict[str, Any]]
--- a/ramptray/peer/peer_filter.py
+++ b/ramptray/peer/peer_filter.py
@@ -1,4 +1,4 @@
-"""Decides which peers can be reached; only failure tests cut any off."""
+"""Decides which peers can be reached; failure tests simulate partitions."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class PeerFilter(abc.ABC):
-    """Returns whether a peer can be reached."""
+    """Decides which peers can be reached."""
 
     @abc.abstractmethod
     def allows(self, address: str) -> bool:
-        """Returns whether messages to and from an address get through."""
+        """Returns whether messages to and from an address may pass."""
 
 
 class AllowAllPeers(PeerFilter):
-    """Lets everything through."""
+    """Allows messages to and from all peers."""
 
     def allows(self, address: str) -> bool:
         """See the base class."""
@@ -24,31 +24,31 @@
 
 
 class FilePeerFilter(PeerFilter):
-    """Cuts off the addresses that a file lists, for failure tests.
+    """Blocks the addresses listed in a file, for failure tests.
 
     Args:
-        path: A JSON list of addresses; read anew whenever it changes.
+        path: A JSON list of addresses; reloaded when it changes.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
-        self._changed_at = 0
-        self._cut: frozenset[str] = frozenset()
+        self._modified_ns = 0
+        self._blocked: frozenset[str] = frozenset()
 
     def allows(self, address: str) -> bool:
         """See the base class."""
         try:
-            changed_at = self._path.stat().st_mtime_ns
-            if changed_at != self._changed_at:
-                self._cut = frozenset(json.loads(self._path.read_text()))
-                self._changed_at = changed_at
+            modified_ns = self._path.stat().st_mtime_ns
+            if modified_ns != self._modified_ns:
+                self._blocked = frozenset(json.loads(self._path.read_text()))
+                self._modified_ns = modified_ns
         except (OSError, ValueError):
-            pass  # No file, or one that is being written: as before.
-        return address not in self._cut
+            pass  # Missing or partly written file: keep the previous list.
+        return address not in self._blocked
 
 
 def make_peer_filter(cut_file: str | None) -> PeerFilter:
-    """Returns the gate that the settings ask for."""
+    """Returns the peer filter for a setting ``cut_file``."""
     return (
         FilePeerFilter(pathlib.Path(cut_file)) if cut_file else AllowAllPeers()
     )
--- a/ramptray/peer/server.py
+++ b/ramptray/peer/server.py
@@ -1,4 +1,4 @@
-"""The serving side of the channel between ramptray's processes."""
+"""The gRPC server for ramptray's processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,13 @@
 
 
 class PeerServer:
-    """Serves peers over gRPC."""
+    """Serves peers over gRPC.
+
+    Args:
+        handler: Handles the peers' messages.
+        hybrid_clock: This process's clock.
+        tls: Settings for mutual TLS; None for plain connections.
+    """
 
     def __init__(
         self,
@@ -32,10 +38,10 @@
         self._server: grpc.aio.Server | None = None
 
     async def start(self, address: str) -> None:
-        """Starts to serve.
+        """Starts to serve on an address.
 
         Raises:
-            link.LinkError: The address cannot be had.
+            link.LinkError: The address cannot be used.
         """
         self._server = grpc.aio.server(options=link.OPTIONS)
         handlers: dict[str, Any] = {
@@ -59,7 +65,7 @@
         await self._server.start()
 
     async def stop(self, grace_s: float = 0.5) -> None:
-        """Stops serving; open streams end after the grace."""
+        """Stops the server; open streams end after the grace period."""
         if self._server:
             await self._server.stop(grace_s)
 
@@ -103,9 +109,9 @@
     ) -> bytes:
         try:
             frame = codec.decode(data)
-            question = frame.body
+            request = frame.body
         except codec.CodecError as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
         self._clock.witness(frame.clock)
-        answer = await self._handler.answer(question)
-        return codec.encode(self._clock.tick(), answer)
+        response = await self._handler.answer(request)
+        return codec.encode(self._clock.tick(), response)
--- a/test/test_channels.py
+++ b/test/test_channels.py
@@ -1,4 +1,4 @@
-"""Channels for questions between VMs are closed when nobody asks."""
+"""Idle channels for unary calls between VMs are closed."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from ramptray.peer import link as peer_link
 from ramptray.peer import message as peer_message
 from test.test_attachment import EmptyViewServer
-from test.test_stopped_link import Slow, serve
+from test.test_stopped_link import UnresponsiveServer, serve
 
 pytestmark = pytest.mark.anyio
 
-QUESTION = peer_message.AskStatus()
+REQUEST = peer_message.AskStatus()
 
 
 @pytest.fixture
@@ -21,25 +21,25 @@
     return "asyncio"
 
 
-async def test_a_channel_is_closed_when_nothing_is_asked_for_a_while() -> None:
-    # Of 195 VMs each had kept a connection to every other one that it had ever
-    # probed: 479 to 528 open descriptors a VM.
+async def test_an_idle_channel_is_closed() -> None:
+    # Otherwise each of 195 VMs keeps a connection to every VM that it has ever
+    # probed: 479 to 528 open descriptors per VM.
     async with serve(EmptyViewServer()) as (address, client):
-        await client.ask(address, QUESTION, 5.0)
+        await client.ask(address, REQUEST, 5.0)
         now = steadyclock.read()
         await client.close_idle(now + peer_link.IDLE_TIMEOUT_S / 2)
         assert client.channel_count == 1
         await client.close_idle(now + peer_link.IDLE_TIMEOUT_S * 2)
         assert client.channel_count == 0
-        await client.ask(address, QUESTION, 5.0)
+        await client.ask(address, REQUEST, 5.0)
 
 
-async def test_a_channel_is_kept_while_a_question_waits() -> None:
+async def test_a_channel_with_a_pending_call_is_not_closed() -> None:
     async with (
-        serve(Slow()) as (address, client),
+        serve(UnresponsiveServer()) as (address, client),
         anyio.create_task_group() as tasks,
     ):
-        tasks.start_soon(client.ask, address, QUESTION, 60.0)
+        tasks.start_soon(client.ask, address, REQUEST, 60.0)
         await anyio.sleep(0.3)
         await client.close_idle(
             steadyclock.read() + peer_link.IDLE_TIMEOUT_S * 2
--- a/test/test_codec.py
+++ b/test/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages between VMs of two versions."""
+"""Encoding of messages, also between VMs of two versions."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from ramptray.peer import codec
 
 
-def test_a_message_of_a_newer_version_does_not_break_the_link(
+def test_an_unknown_message_of_a_newer_version_is_ignored(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     known = message.ServerHints("i-1", 1, 2.0)
-    later = ("LaterKind", {"field": 1})
-    named = [("ServerHints", known), later, later, ("ServerHints", known)]
+    unknown = ("LaterKind", {"field": 1})
+    named = [("ServerHints", known), unknown, unknown, ("ServerHints", known)]
     data = msgspec.msgpack.encode((7, named))
     assert codec.decode(data) == codec.Frame(7, [known, known])
     logged = [r for r in caplog.records if "unknown message" in r.message]
@@ -30,6 +30,6 @@
         msgspec.msgpack.encode(("x", [])),
     ],
 )
-def test_bytes_that_are_no_valid_message_are_refused(data: bytes) -> None:
+def test_invalid_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(codec.CodecError):
         codec.decode(data)
--- a/test/test_slow_links.py
+++ b/test/test_slow_links.py
@@ -1,9 +1,8 @@
-"""What a VM must carry to learn of a change, by how much has changed.
+"""Bytes and store calls that a VM needs to learn of a change.
 
 Each VM read each version of the configuration whole, and a VM that was behind
-read every version in between.  With 1,317 routes that is 0.4 MB a version: on
-VMs with links of 5 Mbit/s changes came into force seconds late ("configuration
-in force" on the slow VMs up to 4 s after the others).
+read every version in between.  With 1,317 routes a version takes 0.4 MB, so
+changes came into force up to 4 s late on VMs with links of 5 Mbit/s.
 """
 
 from __future__ import annotations
@@ -21,13 +20,13 @@
 LINK_MBPS = 5.0
 LINK_BYTES_PER_S = LINK_MBPS * 1e6 / 8
 CHANGES = 8
-CHANGE_EVERY_S = 0.25
+CHANGE_INTERVAL_S = 0.25
 IN_FORCE_S = 1.5
-"""Time from a change until it is in force on every calm VM, in seconds."""
+"""Time limit for a change to be in force on undisturbed VMs, in seconds."""
 
 
 def make_config(version: int) -> dict[str, Any]:
-    """Returns a large configuration with a route that names its version."""
+    """Returns a large configuration with its version in a route's path."""
     config = node.make_config(version)
     config["routes"][0]["pathPrefix"] = f"/v{version}/"
     config["routes"].extend(
@@ -47,7 +46,7 @@
 
 
 def start_slow_vm(started: node.Platform) -> proxy.Proxy:
-    """Starts a VM whose link to the store carries 5 Mbit/s."""
+    """Starts a VM whose link to the store is limited to 5 Mbit/s."""
     slow = proxy.Proxy(started.store, bytes_per_s=LINK_BYTES_PER_S)
     started.start_vm("vm-slow", slow.address, LINK_MBPS)
     return slow
@@ -60,21 +59,21 @@
         for vm in started.vms:
             wait_until(functools.partial(is_served, started, vm, 2), 12.0)
         size = len(json.dumps(make_config(2)))
-        passed = slow.passed_bytes
+        bytes_before = slow.passed_bytes
         written: dict[int, float] = {}
         for version in range(3, 3 + CHANGES):
             started.set_config(make_config(version))
             written[version] = time.monotonic()
-            time.sleep(CHANGE_EVERY_S)
+            time.sleep(CHANGE_INTERVAL_S)
         last = max(written)
         for vm in started.vms:
             left_s = max(0.05, written[last] + IN_FORCE_S - time.monotonic())
             wait_until(functools.partial(is_served, started, vm, last), left_s)
-        assert slow.passed_bytes - passed < size
+        assert slow.passed_bytes - bytes_before < size
         slow.close()
 
 
-def test_calls_to_the_store_hardly_grow_with_the_vms() -> None:
+def test_store_calls_hardly_grow_with_the_number_of_vms() -> None:
     counts = {}
     for vms in (3, 9):
         with node.run_platform(vms=vms) as started:
--- a/test/test_stopped_link.py
+++ b/test/test_stopped_link.py
@@ -1,11 +1,9 @@
-"""A link that is stopped must not end the tasks beside it.
-
-A VM that lost another one from its view stopped its link to it.  The channel
-raised a cancellation of its own out of the read that waited; the scope that had
-been cancelled did not take it for its own, and it ended the whole group: the
-task that hands requests to schedulers, for good.  Seen on small VMs: their last
-"request" came at 1.5 to 2.4 s, right after "owner is silent", while "refused"
-for unknown routes went on to the end; 187 requests waited to their deadlines.
+"""Closing a link must not cancel its sibling tasks.
+
+When a VM closed its link to another one, the gRPC channel raised its own
+cancellation error out of the pending read.  The cancelled scope did not
+recognise it, so the whole task group ended, including the task that sends
+requests to schedulers: 187 requests waited until their deadlines.
 """
 
 from __future__ import annotations
@@ -33,10 +31,10 @@
     return "asyncio"
 
 
-class Slow(EmptyViewServer):
-    """Does not answer questions."""
+class UnresponsiveServer(EmptyViewServer):
+    """Never responds to unary calls."""
 
-    async def answer(self, question: Any) -> Any:
+    async def answer(self, request: Any) -> Any:
         await anyio.sleep_forever()
 
 
@@ -44,7 +42,7 @@
 async def serve(
     handler: peer_link.Handler,
 ) -> AsyncIterator[tuple[str, peer_link.PeerClient]]:
-    """Serves a peer; yields its address and a client for it."""
+    """Starts a server; yields its address and a client."""
     hybrid_clock = clock.HybridClock(lambda: 0)
     address = f"127.0.0.1:{ports.reserve_port()}"
     server = peer_server.PeerServer(handler, hybrid_clock, None)
@@ -57,18 +55,18 @@
         await server.stop()
 
 
-async def count_beats() -> int:
-    """Returns how often a task beside the others goes on."""
-    beats = 0
+async def count_ticks() -> int:
+    """Returns how often a sibling task runs."""
+    ticks = 0
     for _ in range(5):
         await anyio.sleep(0.05)
-        beats += 1
-    return beats
+        ticks += 1
+    return ticks
 
 
-async def test_a_stopped_link_leaves_the_tasks_beside_it_alone() -> None:
+async def test_stopping_a_link_does_not_cancel_sibling_tasks() -> None:
     send, receive = anyio.create_memory_object_stream[Any](100)
-    beats = 0
+    ticks = 0
     async with serve(EmptyViewServer()) as (address, client):
         with anyio.fail_after(10.0):
             async with anyio.create_task_group() as tasks:
@@ -80,15 +78,15 @@
                     await receive.receive(), attachment.LinkOpened
                 )
                 link.stop()
-                beats = await count_beats()
+                ticks = await count_ticks()
                 tasks.cancel_scope.cancel()
-    assert beats == 5
+    assert ticks == 5
 
 
-async def test_a_cancelled_question_leaves_the_tasks_beside_it_alone() -> None:
+async def test_cancelling_a_call_does_not_cancel_sibling_tasks() -> None:
     scope = anyio.CancelScope()
-    beats = 0
-    async with serve(Slow()) as (address, client):
+    ticks = 0
+    async with serve(UnresponsiveServer()) as (address, client):
 
         async def ask() -> None:
             with scope:
@@ -99,6 +97,6 @@
                 tasks.start_soon(ask)
                 await anyio.sleep(0.3)
                 scope.cancel()
-                beats = await count_beats()
+                ticks = await count_ticks()
                 tasks.cancel_scope.cancel()
-    assert beats == 5
+    assert ticks == 5
