--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -10,7 +10,13 @@
 from ramptray.entry import ticket as tickets
 from ramptray.peer import attachment
 from ramptray.scheduler import observations
-from test.test_dispatcher import OTHER, OURS, Desk, anyio_backend, desk
+from test.test_dispatcher import (
+    OTHER,
+    OURS,
+    RecordingDispatcher,
+    anyio_backend,
+    recorder,
+)
 from test.test_rate_limit import (
     announce_limit,
     list_grants,
@@ -20,7 +26,7 @@
 )
 
 # Imported fixtures.
-__all__ = ["anyio_backend", "desk"]
+__all__ = ["anyio_backend", "recorder"]
 
 LEAVING = server_hints.HeadReceived("r0", "s0", 0, is_leaving=True, owner=OURS)
 
@@ -37,11 +43,13 @@
         )
 
 
-def list_hints(desk: Desk) -> list[tuple[str, message.ServerHints]]:
+def list_hints(
+    recorder: RecordingDispatcher,
+) -> list[tuple[str, message.ServerHints]]:
     """Returns the hints that an entry has sent, with their addresses."""
     return [
         (address, body)
-        for address, body in desk.sent
+        for address, body in recorder.sent
         if isinstance(body, message.ServerHints)
     ]
 
@@ -85,19 +93,19 @@
 
 
 def test_returned_grant_is_sent_after_the_hint_and_counts_no_attempt(
-    desk: Desk,
+    recorder: RecordingDispatcher,
 ) -> None:
-    desk.hear(
+    recorder.receive(
         attachment.MessageReceived(OURS, message.Grant("r1", "g", "s0", OURS))
     )
-    desk.server_hints.observe(LEAVING, 1.0)
-    desk.sent.clear()
+    recorder.server_hints.observe(LEAVING, 1.0)
+    recorder.sent.clear()
     unusable = tickets.GrantUnusable("r1", server_hints.UnusableReason.LEAVING)
-    desk._handle(unusable, 1.0)
+    recorder._handle(unusable, 1.0)
     hints = message.ServerHints("s0", 0, is_leaving=True)
     decline = message.Decline("r1", "g", waits=True)
-    assert desk.sent == [(OURS, hints), (OURS, decline)]
-    ticket = desk._tickets["r1"]
+    assert recorder.sent == [(OURS, hints), (OURS, decline)]
+    ticket = recorder._tickets["r1"]
     assert ticket.machine.dispatches == 0
     assert ticket.tried == ()
 
