--- a/test/test_lost_read.py
+++ b/test/test_lost_read.py
@@ -1,17 +1,17 @@
-"""A read that waits is lost on its way: what changes must still be learned.
-
-For some seconds the store took calls and never answered them.  One change of
-the configuration had just made every VM read again at the same moment, so all
-their reads went into that silence.  The store's kernel went on acknowledging
-bytes, so no connection broke; each VM waited until its own timeout of 23 s
-ended the read, and no peer had anything newer to tell.  Eight changes were
-confirmed in the eight seconds after the silence and none came into force.
-
-What settled it: each VM's last line on the configuration, "configuration in
-force" with "generation": 14 at 4.9 s, no line on a log lost or regained or on a
-configuration passed over after it, and one call a VM without an answer at 5.3 s
-followed by no further call for that stream until 28.3 s, while the store
-answered all others from 11.2 s on.
+"""Tests that changes are applied although a pending read of the store is lost.
+
+Guards against this failure: for some seconds the store accepted calls and never
+responded.  A change of the configuration had just made all VMs read again at
+the same moment, so all their reads were lost.  The store's kernel kept
+acknowledging bytes, so no connection broke.  Each VM waited for its read
+timeout of 23 s, and no peer had newer data.  Eight changes were confirmed in
+the 8 s after the store's return, and none came into force.
+
+Evidence: the last log line of each VM on the configuration was "configuration
+in force" with "generation": 14 at 4.9 s.  No line about a log lost or regained
+or a configuration passed over followed.  Each VM had one call without response
+at 5.3 s and no further call for that stream until 28.3 s, while the store
+responded to all other calls from 11.2 s on.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from test import node
 from test.test_node import ask, wait_until
 
-LEARN_S = 3.0
-"""Time from the store's return within which a change must be in force, in
-seconds: what a VM that is in touch again is held to."""
+IN_FORCE_TIMEOUT_S = 3.0
+"""Time after the store's return within which a change must be in force, in
+seconds: the limit for a VM that has reconnected."""
 
-SILENCE_S = 1.5
-"""Long enough for every VM's next read to be sent into it, in seconds: they
-read again 0.4 s after a change."""
+OUTAGE_S = 1.5
+"""How long the store does not respond, in seconds.  VMs read again 0.4 s after
+a change, so the next read of every VM falls into this time."""
 
 
 def make_config(version: int) -> dict[str, Any]:
@@ -50,11 +50,11 @@
 
 
 def lose_reads(started: node.Platform) -> None:
-    """Makes every VM send its next read of each topic into a silence."""
+    """Loses every VM's next read of each topic: the store does not respond."""
     started.set_config(make_config(2))
     started.write_record("i-0")
     started.set_faults("store", silent=True)
-    time.sleep(SILENCE_S)
+    time.sleep(OUTAGE_S)
     started.set_faults("store")
 
 
@@ -65,10 +65,12 @@
             wait_until(functools.partial(is_up, started, vm))
         lose_reads(started)
         started.set_config(make_config(3))
-        ends_at = time.monotonic() + LEARN_S
+        deadline = time.monotonic() + IN_FORCE_TIMEOUT_S
         for vm in started.vms:
-            left_s = max(0.05, ends_at - time.monotonic())
-            wait_until(functools.partial(is_served, started, vm, 3), left_s)
+            remaining_s = max(0.05, deadline - time.monotonic())
+            wait_until(
+                functools.partial(is_served, started, vm, 3), remaining_s
+            )
             assert not is_served(started, vm, 2)
 
 
@@ -78,7 +80,7 @@
             wait_until(functools.partial(is_up, started, vm))
         lose_reads(started)
         started.write_record("i-0", "draining")
-        time.sleep(LEARN_S)
+        time.sleep(IN_FORCE_TIMEOUT_S)
         before = len(started.read_ledger("i-0")["runs"])
         for number in range(20):
             vm = f"vm-{number % 2}"
--- a/test/test_prober.py
+++ b/test/test_prober.py
@@ -1,4 +1,4 @@
-"""What an entry believes of availability zones that fall silent."""
+"""Tests how an entry handles availability zones that become unreachable."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from ramptray.entry import backend_directory, prober, reachability
 
 
-def make_network() -> backend_directory.BackendDirectory:
-    """Returns a network with two backend servers in each of two zones."""
-    known = backend_directory.BackendDirectory()
+def make_directory() -> backend_directory.BackendDirectory:
+    """Returns a directory with two backend servers in each of two zones."""
+    backends = backend_directory.BackendDirectory()
     servers = {
         f"{zone}{number}": model.BackendServer(
             service="lm",
@@ -35,48 +35,48 @@
         backend_servers=servers,
     )
     envelope = signature.Envelope("", {})
-    known.apply_bundle(acceptance.InForce(bundle, envelope))
-    return known
+    backends.apply_bundle(acceptance.InForce(bundle, envelope))
+    return backends
 
 
-def test_a_silent_zone_is_avoided_until_it_answers() -> None:
-    # cmp-flotta: each time the pause ended, the next requests lost 0.12 s a
-    # zone, of objectives of 0.3 s.
-    known = reachability.Reachability()
+def test_an_unreachable_zone_is_avoided_until_it_answers() -> None:
+    # If a zone were tried again after a fixed backoff, the next requests would
+    # lose 0.12 s per zone of their objectives of 0.3 s (seen in cmp-flotta).
+    backends = reachability.Reachability()
     zones = {"a1": "a", "a2": "a", "b1": "b"}
-    known.record_connect_failure("a1", "a", 10.0)
-    assert known.list_unreachable(zones, 60.0) == ("a1", "a2")
-    known.record_answer("a2", "a", 60.1)
-    assert known.list_unreachable(zones, 60.2) == ()
+    backends.record_connect_failure("a1", "a", 10.0)
+    assert backends.list_unreachable(zones, 60.0) == ("a1", "a2")
+    backends.record_answer("a2", "a", 60.1)
+    assert backends.list_unreachable(zones, 60.2) == ()
 
 
-def test_each_server_of_a_silent_zone_is_probed_in_turn() -> None:
-    known = make_network()
-    known.record_connect_failure("a1", 1.0)
-    probed = [known.list_probe_targets(turn)[0][0] for turn in range(4)]
+def test_the_servers_of_an_unreachable_zone_are_probed_round_robin() -> None:
+    backends = make_directory()
+    backends.record_connect_failure("a1", 1.0)
+    probed = [backends.list_probe_targets(turn)[0][0] for turn in range(4)]
     assert probed == ["a1", "a2", "a1", "a2"]
 
 
-def test_a_probe_that_succeeds_ends_the_silence() -> None:
-    known = make_network()
-    asked: list[str] = []
+def test_a_successful_probe_marks_the_zone_as_reachable() -> None:
+    backends = make_directory()
+    probed_urls: list[str] = []
 
     async def probe(url: str) -> bool:
-        asked.append(url)
+        probed_urls.append(url)
         return url == "http://a2:1"
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(prober.Prober(known, probe).run)
+            tasks.start_soon(prober.Prober(backends, probe).run)
             await anyio.sleep(0.05)
-            assert asked == []  # Nobody is probed while all is well.
-            known.record_connect_failure("a1", 1.0)
+            assert probed_urls == []  # No probes while all are reachable.
+            backends.record_connect_failure("a1", 1.0)
             with anyio.fail_after(2.0):
-                while known.list_probe_targets(0):
+                while backends.list_probe_targets(0):
                     await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
 
     anyio.run(run)
-    assert asked[-1] == "http://a2:1"
-    assert known.list_unreachable(1.1) == ("a1",)  # Its own pause goes on.
-    assert known.list_unreachable(2.0) == ()
+    assert probed_urls[-1] == "http://a2:1"
+    assert backends.list_unreachable(1.1) == ("a1",)  # Its backoff goes on.
+    assert backends.list_unreachable(2.0) == ()
--- a/test/test_refusals.py
+++ b/test/test_refusals.py
@@ -1,11 +1,12 @@
-"""Backend servers that turn requests away while others have room.
-
-Five of nine engines turned away nearly half of what was sent to them.  Nobody
-learned from it: they went on getting their part of the work, since their places
-were always free.  A tenth of the requests was refused at two engines and went
-back to its caller with advice to return in 1 s, which is later than an answer
-in time may begin ("attempt_failed" with "not_run": true, at up to 45 in 100 of
-the attempts for eleven seconds; answers late by 1.1 to 1.2 s).
+"""Tests backend servers that refuse requests while others have free slots.
+
+Guards against two faults, seen when five of nine engines refused nearly half of
+their requests.  The scheduler did not learn from refusals: the refusing engines
+always had free slots, so they kept receiving their share of the work.  A tenth
+of the requests was refused by two engines in turn and returned to its caller
+with a Retry-After of 1 s, longer than the objective for the start of a response
+("attempt_failed" with "not_run": true for up to 45 % of the attempts during
+11 s; responses were late by 1.1 to 1.2 s).
 """
 
 from __future__ import annotations
@@ -15,23 +16,23 @@
 from test import node
 from test.test_node import ask, wait_until
 
-ASKED = 40
-MANY_REFUSED = 8
-"""Of these, how many may be tried with a server that refuses all."""
+REQUEST_COUNT = 40
+MAX_REFUSED = 8
+"""How many of these may be sent to a server that refuses all requests."""
 
-AT_ONCE_S = 0.2
-"""Longest advice on when to come back while others have room, in seconds."""
+MAX_RETRY_AFTER_S = 0.2
+"""Longest Retry-After while other servers have free slots, in seconds."""
 
 
-def test_a_replica_that_refuses_is_left_alone_for_a_while() -> None:
+def test_a_refusing_replica_is_avoided_for_a_while() -> None:
     with node.run_platform() as started:
         wait_until(lambda: ask(started, "/safe/").status == 200)
         started.set_faults("i-0", refuse=True)
         started.set_faults("i-1", work_s=0.03)
-        for _ in range(ASKED):
+        for _ in range(REQUEST_COUNT):
             assert ask(started, "/safe/").status == 200
         refused = started.read_ledger("i-0")["refused"]
-        assert len(refused) <= MANY_REFUSED
+        assert len(refused) <= MAX_REFUSED
         started.set_faults("i-0")
         started.set_faults("i-1", refuse=True)
         began = time.monotonic()
@@ -39,14 +40,19 @@
         assert time.monotonic() - began < 1.0
 
 
-def test_a_refusal_while_another_has_room_says_come_back_at_once() -> None:
+def test_a_refusal_has_a_short_retry_after_while_others_have_free_slots() -> (
+    None
+):
     with node.run_platform() as started:
         wait_until(lambda: ask(started, "/safe/").status == 200)
         started.set_faults("i-0", refuse=True)
         started.set_faults("i-1", work_s=0.03)
-        # What may go to one replica only comes back to its caller.
-        answers = [ask(started, "/once/", "POST", b"x") for _ in range(ASKED)]
-        refused = [found for found in answers if found.status == 503]
+        # Requests to /once/ are not retried by ramptray, so a refusal is
+        # returned to the caller.
+        answers = [
+            ask(started, "/once/", "POST", b"x") for _ in range(REQUEST_COUNT)
+        ]
+        refused = [answer for answer in answers if answer.status == 503]
         assert refused
-        for found in refused:
-            assert float(found.headers["retry-after"]) <= AT_ONCE_S
+        for answer in refused:
+            assert float(answer.headers["retry-after"]) <= MAX_RETRY_AFTER_S
