--- a/ramptray/node/main.py
+++ b/ramptray/node/main.py
@@ -109,7 +109,7 @@
             self._blocks,
             load_at_start=not given.first_start,
         )
-        self._store.on_older_copy(self._block_sync.save_all)
+        self._store.add_rollback_listener(self._block_sync.save_all)
         self._gossiper = self._make_gossiper()
         self._follower.pick_peer = self._gossiper.pick_peer
         self._hub = hub.Hub(
--- a/ramptray/platform/config.py
+++ b/ramptray/platform/config.py
@@ -15,23 +15,23 @@
 """Zones of a deployment are about a millisecond apart: one scheduler sees the
 backend servers of all of them, so the bundle has a single zone."""
 
-QUEUE_TOKENS = 1_000_000_000
+MAX_QUEUED_TOKENS = 1_000_000_000
 """No bound on what waits but the deadlines: a request that waits in vain is
 given up by its deadline, and the queue's order sees to the rest."""
 
-KV_UNBOUNDED = 1_000_000_000
+UNBOUNDED_KV_TOKENS = 1_000_000_000
 """KV memory of a service without engines, in tokens."""
 
-PLAIN_SLOTS = 64
+DEFAULT_SLOTS = 64
 """Requests at a time of a replica whose record is not known yet."""
 
-STREAM_PATIENCE_S = 2.0
+MIN_PATIENCE_S = 2.0
 """Shortest time in which callers give up a stream without an event, seconds."""
 
-PATIENCE_OBJECTIVES = 4
+PATIENCE_PER_OBJECTIVE = 4
 """Callers wait at least so many times the objective for a stream's event."""
 
-PATIENCE_GAPS = 8
+PATIENCE_PER_GAP = 8
 """Callers wait at least so many of the longest pauses for a stream's event."""
 
 _KINDS = {
@@ -81,7 +81,7 @@
 class _Engine(_Wire, frozen=True, kw_only=True):
     slots: model.EnginePlaces
     kv_tokens: model.PositiveInt = msgspec.field(
-        name="kvTokens", default=KV_UNBOUNDED
+        name="kvTokens", default=UNBOUNDED_KV_TOKENS
     )
     # Tokens that one event of a stream holds.
     stride: model.PositiveInt = 1
@@ -126,7 +126,7 @@
     tenants: list[_Tenant] = []
 
 
-NO_TERMS = settings.LimitTerms()
+DEFAULT_LIMIT_TERMS = settings.LimitTerms()
 
 
 class _Decoded(msgspec.Struct, frozen=True):
@@ -154,7 +154,9 @@
         terms: How customers' limits are judged.
     """
 
-    def __init__(self, terms: settings.LimitTerms = NO_TERMS) -> None:
+    def __init__(
+        self, terms: settings.LimitTerms = DEFAULT_LIMIT_TERMS
+    ) -> None:
         self._terms = terms
         self._decoded: dict[str, _Decoded] = {}
 
@@ -210,7 +212,7 @@
 
 
 def parse_config(
-    text: str, terms: settings.LimitTerms = NO_TERMS
+    text: str, terms: settings.LimitTerms = DEFAULT_LIMIT_TERMS
 ) -> model.Bundle:
     """Returns the bundle that a single configuration declares.
 
@@ -319,15 +321,17 @@
     kind = model.ServiceKind.PLAIN
     if service.engine:
         kind = model.ServiceKind.MODEL
-    return model.Service(kind=kind, queue_tokens=QUEUE_TOKENS, headroom=0.0)
+    return model.Service(
+        kind=kind, queue_tokens=MAX_QUEUED_TOKENS, headroom=0.0
+    )
 
 
 def _make_engine(service: _Service) -> model.Engine:
     engine = service.engine
     if engine is None:
         return model.Engine(
-            max_running=PLAIN_SLOTS,
-            kv_tokens=KV_UNBOUNDED,
+            max_running=DEFAULT_SLOTS,
+            kv_tokens=UNBOUNDED_KV_TOKENS,
             warm_up_per_s=service.warm_up_per_s,
         )
     return model.Engine(
@@ -371,9 +375,9 @@
     if _KINDS[route.kind] is not model.RouteKind.STREAM:
         return None
     return max(
-        STREAM_PATIENCE_S,
-        PATIENCE_OBJECTIVES * route.target_ms / 1000,
-        PATIENCE_GAPS * (route.gap_ms or 0.0) / 1000,
+        MIN_PATIENCE_S,
+        PATIENCE_PER_OBJECTIVE * route.target_ms / 1000,
+        PATIENCE_PER_GAP * (route.gap_ms or 0.0) / 1000,
     )
 
 
--- a/ramptray/platform/evacuation.py
+++ b/ramptray/platform/evacuation.py
@@ -16,12 +16,12 @@
 
 KEY_PREFIX = "evacuate/"
 
-HOLD_S = 3.0
+MISSING_ORDER_RETENTION_S = 3.0
 """How long an order stays in force that is missing without having been taken
 back, in seconds: longer than operators take to write lost records again."""
 
 
-class EvacuationBook:
+class EvacuationRegistry:
     """Keeps the evacuated zones; a plain object without sockets or a clock."""
 
     def __init__(self) -> None:
@@ -34,11 +34,11 @@
         return frozenset(self._orders)
 
     @property
-    def is_waiting(self) -> bool:
+    def has_missing_records(self) -> bool:
         """Whether an order is kept whose record is missing."""
         return any(until is not None for until in self._orders.values())
 
-    def take(
+    def apply(
         self, changes: Iterable[store.Change], whole: bool, now: float
     ) -> bool:
         """Takes records in the store's order.
@@ -78,7 +78,7 @@
     def _hold_all(self, now: float) -> None:
         for zone, until in self._orders.items():
             if until is None:
-                self._orders[zone] = now + HOLD_S
+                self._orders[zone] = now + MISSING_ORDER_RETENTION_S
 
     def _take(self, change: store.Change) -> None:
         zone = change.key.removeprefix(KEY_PREFIX)
--- a/ramptray/platform/follower.py
+++ b/ramptray/platform/follower.py
@@ -32,17 +32,17 @@
 CONFIG_KEY = "config"
 REPLICA_TOPIC = "keyed.servers"
 
-FETCH_S = 1.0
+FETCH_TIMEOUT_S = 1.0
 """Longest time for a peer to hand over what it has, in seconds: less than the
 two seconds in which that must be in force."""
 
-TICK_S = 0.2
+CHECK_INTERVAL_S = 0.2
 """Pause between two looks at what has expired or was lost, in seconds."""
 
-IDLE_TICK_S = 1.0
+IDLE_CHECK_INTERVAL_S = 1.0
 """The same while no record is missing or known to be outstanding."""
 
-ASK_PEERS_EVERY_S = 0.5
+PEER_FETCH_INTERVAL_S = 0.5
 """How often a VM that the store turns away asks a peer, in seconds: what the
 store has must be in force everywhere within about two seconds."""
 
@@ -60,7 +60,7 @@
         first_start: Whether all VMs start for the first time.
         reader: The store.
         client: Asks peers.
-        hold_s: See ``replicas.ReplicaBook``.
+        hold_s: See ``replicas.ReplicaRegistry``.
         zones: Region of each availability zone; empty where that is not
             given.
         terms: How customers' limits are judged.
@@ -84,14 +84,14 @@
         rollout_terms: settings.RolloutTerms,
         on_bundle: OnBundle,
     ) -> None:
-        super().__init__(client, FETCH_S)
+        super().__init__(client, FETCH_TIMEOUT_S)
         self.pick_peer: Callable[[], str | None] = _pick_none
         self._in_force: acceptance.InForce | None = None
         self._parser = config.ConfigParser(terms)
-        self._book = replicas.ReplicaBook(hold_s, zones)
+        self._book = replicas.ReplicaRegistry(hold_s, zones)
         self._regions = zones
-        self._evacuations = evacuation.EvacuationBook()
-        self._rollouts = rollout.OrderBook(rollout_terms)
+        self._evacuations = evacuation.EvacuationRegistry()
+        self._rollouts = rollout.RolloutOrderRegistry(rollout_terms)
         self._on_bundle = on_bundle
         self._declared: model.Bundle | None = None
         self._text = ""
@@ -115,7 +115,7 @@
         )
         self._distributor.get_outage = self._book.get_outage
         self._distributor.on_outage = self._record_outage
-        reader.on_older_copy(self._note_older_copy)
+        reader.add_rollback_listener(self._note_older_copy)
 
     async def run(self) -> None:
         """Follows until cancelled."""
@@ -187,7 +187,7 @@
         await self._distributor.fetch_updates(address)
 
     def _record_outage(self, outage: distributor.LogOutage) -> None:
-        self._book.record_outage(outage, steadyclock.read())
+        self._book.merge_outage(outage, steadyclock.read())
 
     def set_on_stream_advance(self, on_advance: Callable[[], None]) -> None:
         """See the base class."""
@@ -218,7 +218,7 @@
     async def _ask_peers(self) -> None:
         """Asks peers while the store turns this VM away."""
         while True:
-            await anyio.sleep(ASK_PEERS_EVERY_S)
+            await anyio.sleep(PEER_FETCH_INTERVAL_S)
             peer = None if self.log_up else self.pick_peer()
             if peer is not None:
                 await self.fetch_newer(peer)
@@ -227,8 +227,8 @@
 
     def _take_config(self, changes: store.Changes, whole: bool) -> None:
         now = steadyclock.read()
-        zones_changed = self._evacuations.take(changes.records, whole, now)
-        orders_changed = self._rollouts.take(changes.records, whole, now)
+        zones_changed = self._evacuations.apply(changes.records, whole, now)
+        orders_changed = self._rollouts.apply(changes.records, whole, now)
         if zones_changed or orders_changed:
             self._publish()
         for change in changes.records:
@@ -266,40 +266,42 @@
     def _take_replicas(self, changes: store.Changes, whole: bool) -> None:
         now = steadyclock.read()
         if self._replicas.in_outage:
-            self._book.note_return(now)
+            self._book.record_store_recovery(now)
         if whole:
-            self._book.take_all(changes.records, now, changes.end)
+            self._book.apply_snapshot(changes.records, now, changes.end)
         else:
-            self._book.take_changes(changes.records, now)
+            self._book.apply_changes(changes.records, now)
         if whole or changes.records:
             # Each bundle costs an owner some work, and a watcher hears once a
             # second that nothing has changed.
             self._publish()
 
     def _note_trouble(self) -> None:
-        self._book.note_trouble(steadyclock.read())
+        self._book.record_store_error(steadyclock.read())
 
     def _note_older_copy(self) -> None:
         """Keeps replicas whose records are lost as long as after an outage.
 
         The writers of lost records write them again.
         """
-        self._book.note_return(steadyclock.read())
+        self._book.record_store_recovery(steadyclock.read())
 
     def _is_unsettled(self) -> bool:
         """Returns whether a moment is near at which something is due."""
         return (
-            self._book.is_waiting
-            or self._evacuations.is_waiting
+            self._book.has_missing_records
+            or self._evacuations.has_missing_records
             or any(reader.is_behind for reader in self._readers)
         )
 
     async def _tick(self) -> None:
         while True:
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
             if not self._is_unsettled():
                 self._hurry = anyio.Event()
-                with anyio.move_on_after(IDLE_TICK_S - TICK_S):
+                with anyio.move_on_after(
+                    IDLE_CHECK_INTERVAL_S - CHECK_INTERVAL_S
+                ):
                     await self._hurry.wait()
             for reader in self._readers:
                 reader.check_pending_read()
--- a/ramptray/platform/header.py
+++ b/ramptray/platform/header.py
@@ -14,7 +14,7 @@
 
 LOG = logging.getLogger(__name__)
 
-ID = b"x-request-id"
+REQUEST_ID = b"x-request-id"
 SIGNATURE = b"x-response-signature"
 """Set by replicas; it travels on like all headers that are not named here."""
 
@@ -28,37 +28,37 @@
 
 _PARTS = b"x-prompt-prefix"
 _MODEL = b"x-model"
-MAX_PARTS = 64
+MAX_PREFIX_PARTS = 64
 """Longest list of prompt parts that is used; the rest is dropped."""
 
 LAST_EVENT = b"last-event-id"
 CUSTOMER = b"x-tenant"
-BACKEND = b"x-expect-instance"
+EXPECTED_BACKEND = b"x-expect-instance"
 """The replica that is meant; every other one answers 421 and runs nothing."""
 
-NOT_RUN = b"x-not-executed"
-LIMIT = b"server-limit"
+NOT_EXECUTED = b"x-not-executed"
+SERVER_LIMIT = b"server-limit"
 """Requests a second that the replica accepts from all VMs together."""
 
-LEAVING = b"server-leaving"
+SERVER_LEAVING = b"server-leaving"
 """1 in each answer of a replica that is leaving."""
 
-PAUSE = b"retry-after"
+RETRY_AFTER = b"retry-after"
 """Seconds for which a replica that turned a request away wants nothing from
 this VM."""
 
 _LEAVING_VALUE = b"1"
 _ANSWER_NAMES = response_headers.STANDARD_RESPONSE_HEADERS | {
-    ID,
-    LEAVING,
-    LIMIT,
-    NOT_RUN,
-    PAUSE,
+    REQUEST_ID,
+    SERVER_LEAVING,
+    SERVER_LIMIT,
+    NOT_EXECUTED,
+    RETRY_AFTER,
     SIGNATURE,
 }
 """Header names of answers whose meaning is known here."""
 
-MAX_UNKNOWN = 32
+MAX_LOGGED_NAMES = 32
 """Unknown header names of answers that are logged at most."""
 
 _DECIMAL = re.compile(rb"\d{1,9}(\.\d{1,9})?")
@@ -81,7 +81,7 @@
 )
 _SET_BY_US = frozenset(
     {
-        BACKEND,
+        EXPECTED_BACKEND,
         CUSTOMER,
         DEADLINE,
         _KEY,
@@ -95,7 +95,7 @@
     }
 )
 _END_TO_END = frozenset(
-    {ID, _SIZES, _LIKELY, _PARTS, b"host", _MODEL, b"content-type"}
+    {REQUEST_ID, _SIZES, _LIKELY, _PARTS, b"host", _MODEL, b"content-type"}
 )
 """Headers that travel on even if the caller ties them to its connection."""
 
@@ -122,7 +122,7 @@
         names = [name.lower() for name, _ in head.headers]
         if b"transfer-encoding" in names and b"content-length" in names:
             return Err(message.InvalidRequest(400, "two lengths of the body"))
-        if names.count(ID) != 1:
+        if names.count(REQUEST_ID) != 1:
             return Err(
                 message.InvalidRequest(400, "x-request-id: exactly one wanted")
             )
@@ -138,7 +138,7 @@
                 target=head.target,
                 host=_read_host(values.get(b"host", b"")),
                 headers=_leave_out(head.headers, _SET_BY_US),
-                request_id=values[ID].decode("latin-1"),
+                request_id=values[REQUEST_ID].decode("latin-1"),
                 deadline_s=None if deadline is None else deadline / 1000,
                 key=_read_key(values.get(_KEY, b"")),
                 prompt_tokens=prompt,
@@ -174,14 +174,14 @@
         self._note_unknown(values.keys(), status)
         return message.ResponseHead(
             status=status,
-            headers=_leave_out(headers, frozenset({NOT_RUN})),
-            request_id=_read_text(values.get(ID)),
-            not_run=NOT_RUN in values or status == _MISDIRECTED,
+            headers=_leave_out(headers, frozenset({NOT_EXECUTED})),
+            request_id=_read_text(values.get(REQUEST_ID)),
+            not_run=NOT_EXECUTED in values or status == _MISDIRECTED,
             idle_timeout_s=_read_keep_alive(values.get(_KEEP_ALIVE, b"")),
-            limit_per_s=self._read_decimal(headers, LIMIT),
-            is_leaving=LEAVING in values and self._read_leaving(headers),
+            limit_per_s=self._read_decimal(headers, SERVER_LIMIT),
+            is_leaving=SERVER_LEAVING in values and self._read_leaving(headers),
             pause_s=(
-                self._read_decimal(headers, PAUSE)
+                self._read_decimal(headers, RETRY_AFTER)
                 if status == _UNAVAILABLE
                 else None
             ),
@@ -202,10 +202,10 @@
 
     def _read_leaving(self, headers: message.Headers) -> bool:
         """Returns whether an answer says that its replica is leaving."""
-        found = _list_values(headers, LEAVING)
+        found = _list_values(headers, SERVER_LEAVING)
         if all(value.strip() == _LEAVING_VALUE for value in found):
             return True
-        self._note_invalid(LEAVING, found)
+        self._note_invalid(SERVER_LEAVING, found)
         return False
 
     def _note_invalid(self, name: bytes, found: list[bytes]) -> None:
@@ -225,7 +225,7 @@
     def _note_unknown(self, names: Set[bytes], status: int) -> None:
         """Logs each header name of answers that nothing here reads, once."""
         for name in names - _ANSWER_NAMES - self._unknown:
-            if len(self._unknown) >= MAX_UNKNOWN:
+            if len(self._unknown) >= MAX_LOGGED_NAMES:
                 return
             self._unknown.add(name)
             LOG.info(
@@ -302,7 +302,7 @@
     chained = zlib.crc32(model)
     hashes: list[int] = []
     sizes: list[int] = []
-    for part in value.split(b",")[:MAX_PARTS]:
+    for part in value.split(b",")[:MAX_PREFIX_PARTS]:
         tokens = _read_int(part.rpartition(b":")[2])
         if tokens is None:
             break
--- a/ramptray/platform/page.py
+++ b/ramptray/platform/page.py
@@ -10,15 +10,15 @@
 
 from ramptray.log import error as log_error
 from ramptray.log import keyedstream
-from ramptray.platform import place
+from ramptray.platform import stream_position
 
-LENGTH = struct.Struct(">I")
+RECORD_LENGTH = struct.Struct(">I")
 """What stands before each record: its length."""
 
-POSITIONS = struct.Struct(">QQ")
+PAGE_HEADER = struct.Struct(">QQ")
 """What stands before the records: the end, and the first offset kept."""
 
-UNREADABLE = b"\x00"
+INVALID_VALUE = b"\x00"
 """Stands for a value of which the bytes make no sense."""
 
 
@@ -65,12 +65,12 @@
 
 
 def decode_value(text: str) -> bytes:
-    """Returns a value; ``UNREADABLE`` for one that makes no sense."""
+    """Returns a value; ``INVALID_VALUE`` for one that makes no sense."""
     try:
         return base64.b64decode(text, validate=True)
     except binascii.Error:
         # Whoever reads the value says so; the other items hold.
-        return UNREADABLE
+        return INVALID_VALUE
 
 
 def decode_records(body: bytes, offset: int) -> keyedstream.Changes:
@@ -81,15 +81,17 @@
         StoreError: The bytes are not a series of records.
     """
     try:
-        end, first = POSITIONS.unpack_from(body)
-        if first > place.get_offset(offset):
+        end, first = PAGE_HEADER.unpack_from(body)
+        if first > stream_position.get_offset(offset):
             raise TrimmedError(f"records before {first} are gone")
-        end = place.make_place(place.get_generation(offset), end)
+        end = stream_position.make_position(
+            stream_position.get_generation(offset), end
+        )
         records: list[keyedstream.Change] = []
-        at = POSITIONS.size
+        at = PAGE_HEADER.size
         while at < len(body):
-            (length,) = LENGTH.unpack_from(body, at)
-            at += LENGTH.size
+            (length,) = RECORD_LENGTH.unpack_from(body, at)
+            at += RECORD_LENGTH.size
             position = offset + len(records)
             records.append(_decode_keyed(body[at : at + length], position))
             at += length
--- a/ramptray/platform/record.py
+++ b/ramptray/platform/record.py
@@ -16,16 +16,16 @@
 
 from ramptray.peer import message as peer_message
 
-MOST_SLOTS = 100_000
+MAX_SLOTS = 100_000
 """Requests at a time of any replica; a larger number is a mistake, and would
 send everything there."""
 
-MOST_MS = 2**53
+MAX_MS = 2**53
 """Latest start that is believed, in Unix milliseconds: larger numbers are not
 exact in every program that writes records."""
 
 
-ERROR_CHARS = 200
+MAX_ERROR_CHARS = 200
 """Longest account of a mistake: it repeats what the record holds, and is
 logged."""
 
@@ -57,13 +57,13 @@
     address: _Address
     zone: _Text
     release: str = msgspec.field(name="version", default="")
-    slots: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: _State
-    started_ms: Annotated[int, msgspec.Meta(ge=0, le=MOST_MS)] = msgspec.field(
+    started_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_MS)] = msgspec.field(
         name="born", default=0
     )
-    warm_in_ms: Annotated[float, msgspec.Meta(ge=0, le=MOST_MS)] = (
-        msgspec.field(name="coldMs", default=0.0)
+    warm_in_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_MS)] = msgspec.field(
+        name="coldMs", default=0.0
     )
 
 
@@ -89,7 +89,7 @@
     try:
         raw = msgspec.json.decode(value.decode(), type=_Record)
     except (msgspec.MsgspecError, RecursionError, UnicodeError) as error:
-        raise RecordError(str(error)[:ERROR_CHARS]) from error
+        raise RecordError(str(error)[:MAX_ERROR_CHARS]) from error
     if zones and raw.zone not in zones:
         raise RecordError(f"zone: {raw.zone} is not known")
     return peer_message.Replica(
--- a/ramptray/platform/replicas.py
+++ b/ramptray/platform/replicas.py
@@ -19,24 +19,24 @@
 
 LOG = logging.getLogger(__name__)
 
-TROUBLE_S = 3.0
+UNRELIABLE_AFTER_ERROR_S = 3.0
 """How long after an error of the store its word on gone records is doubted, in
 seconds: records that lapsed are back about two seconds after the store."""
 
-CATCH_UP_S = 0.5
+RECOVERY_WINDOW_S = 0.5
 """Records that are read so soon after the store is back went while it was away,
 in seconds."""
 
-HOLD_AFTER_RETURN_S = 2.2
+RETENTION_AFTER_RECOVERY_S = 2.2
 """How long a replica whose record went while the store was away is kept after
 that, in seconds: a record that is not back about two seconds after the store is
 gone for good."""
 
-FORGET_S = 60.0
+GONE_RETENTION_S = 60.0
 """How long a replica that has gone is still listed as leaving, in seconds: an
 owner that the store turns away may go on granting it, and must be told no."""
 
-MANY = 2
+MASS_REMOVAL_COUNT = 2
 """So many records that go together may mean that the store was away unseen."""
 
 
@@ -46,7 +46,7 @@
     forget_at: float | None = None
 
 
-class ReplicaBook:
+class ReplicaRegistry:
     """Keeps the replicas; a plain object without sockets or a clock.
 
     Args:
@@ -72,11 +72,11 @@
         """How many records name no replica that may be used."""
         return len(self._unusable)
 
-    def note_trouble(self, now: float) -> None:
+    def record_store_error(self, now: float) -> None:
         """Notes that the store did not answer."""
         self._trouble_at = now
 
-    def note_return(self, now: float) -> None:
+    def record_store_recovery(self, now: float) -> None:
         """Notes that the store answers again."""
         self._trouble_at = now
         self._returned_at = now
@@ -87,7 +87,7 @@
             _get_age(self._trouble_at, now), _get_age(self._returned_at, now)
         )
 
-    def record_outage(self, told: distributor.LogOutage, now: float) -> None:
+    def merge_outage(self, told: distributor.LogOutage, now: float) -> None:
         """Takes how the store has failed the VM that read it for this one."""
         if told.ago_s is not None:
             self._trouble_at = max(self._trouble_at, now - told.ago_s)
@@ -98,7 +98,9 @@
         """Returns the replicas by their ids; those gone count as leaving."""
         return {name: known.replica for name, known in self._known.items()}
 
-    def take_changes(self, changes: Iterable[store.Change], now: float) -> None:
+    def apply_changes(
+        self, changes: Iterable[store.Change], now: float
+    ) -> None:
         """Takes records in the store's order."""
         # The last record of a key decides: taking all that went after all that
         # came lost live replicas for good whose records came back at once.
@@ -111,7 +113,7 @@
                 self._take(change, now)
         self._take_gone(gone, now)
 
-    def take_all(
+    def apply_snapshot(
         self, newest: Iterable[store.Change], now: float, end: int = -1
     ) -> None:
         """Takes the newest record of each replica; others have none.
@@ -123,7 +125,7 @@
                 known.
         """
         records = list(newest)
-        self.take_changes(records, now)
+        self.apply_changes(records, now)
         present = {change.key for change in records if change.value}
         # Whose record stands behind the end was written after an old read.
         missing = [
@@ -134,7 +136,7 @@
         self._take_gone(dict.fromkeys(missing, -1), now)
 
     @property
-    def is_waiting(self) -> bool:
+    def has_missing_records(self) -> bool:
         """Whether a replica is kept whose record is missing."""
         return any(known.gone_at is not None for known in self._known.values())
 
@@ -241,7 +243,7 @@
                 known.
             now: When that was read.
         """
-        doubted = now - self._trouble_at < TROUBLE_S
+        doubted = now - self._trouble_at < UNRELIABLE_AFTER_ERROR_S
         for name, position in gone.items():
             self._unusable.pop(name, None)
             known = self._known.get(name)
@@ -255,9 +257,9 @@
                 )
             if known.replica.leaving:
                 self._drop(name, "it was leaving", now)
-            elif now - self._returned_at < CATCH_UP_S:
-                self._hold(name, self._returned_at + HOLD_AFTER_RETURN_S)
-            elif doubted or len(gone) >= MANY:
+            elif now - self._returned_at < RECOVERY_WINDOW_S:
+                self._hold(name, self._returned_at + RETENTION_AFTER_RECOVERY_S)
+            elif doubted or len(gone) >= MASS_REMOVAL_COUNT:
                 self._hold(name, now + self._hold_s)
             else:
                 self._drop(name, "its record has gone", now)
@@ -272,7 +274,7 @@
         replica = msgspec.structs.replace(
             self._known[name].replica, leaving=True
         )
-        self._known[name] = _Known(replica, forget_at=now + FORGET_S)
+        self._known[name] = _Known(replica, forget_at=now + GONE_RETENTION_S)
         LOG.info(
             "backend server gone", extra={"backend": name, "reason": reason}
         )
--- a/ramptray/platform/rollout.py
+++ b/ramptray/platform/rollout.py
@@ -32,7 +32,7 @@
     release: str = msgspec.field(name="targetVersion")
 
 
-class OrderBook:
+class RolloutOrderRegistry:
     """Keeps the orders; a plain object without sockets or a clock.
 
     Args:
@@ -47,7 +47,7 @@
         """Returns the orders by their services."""
         return dict(self._orders)
 
-    def take(
+    def apply(
         self, changes: Iterable[store.Change], whole: bool, now: float
     ) -> bool:
         """Takes records in the store's order.
--- a/ramptray/platform/store.py
+++ b/ramptray/platform/store.py
@@ -15,25 +15,25 @@
 from ramptray.log import error as log_error
 from ramptray.log import hedging, keyedstream
 from ramptray.log import reader as log_reader
-from ramptray.platform import page, place
+from ramptray.platform import page, stream_position
 
 LOG = logging.getLogger(__name__)
 
-WAIT_S = 28.0
+READ_WAIT_S = 28.0
 """How long a read waits for a record, in seconds; the store allows 30.  Lost
 reads are found by other means, so only the price of a call counts."""
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 """Longest time to open a connection, in seconds."""
 
 USER_TIMEOUT_MS = 3000
 """How long sent bytes may stay unacknowledged, in milliseconds."""
 
-KEEP_ALIVE_S = 1
+KEEP_ALIVE_INTERVAL_S = 1
 """Silence after which the kernel asks whether the store is still there, and the
 pause between such questions, in seconds; a cut says nothing of itself."""
 
-READ_BYTES = 65536
+RECEIVE_BYTES = 65536
 
 NEWEST_PATH = "/v1/log-newest"
 READ_PATH = "/v1/log-read"
@@ -42,7 +42,7 @@
 """Which copy of itself the store speaks from; it rises by one each time that it
 comes back from an older one."""
 
-WAIT_FIELD = "waitMs"
+WAIT_PARAMETER = "waitMs"
 """How long a read waits for a record, in milliseconds."""
 
 _GONE = 410
@@ -61,7 +61,7 @@
 Changes = keyedstream.Changes
 
 
-class Reply(msgspec.Struct, frozen=True):
+class StoreResponse(msgspec.Struct, frozen=True):
     """An answer of the store.
 
     Attributes:
@@ -86,7 +86,7 @@
 class Store:
     """Reads the topics of the store, and adds records to them.
 
-    Places in topics are those of ``platform.place``.
+    Places in topics are those of ``platform.stream_position``.
 
     Args:
         address: IP number and port of the store.
@@ -100,7 +100,7 @@
         self._address = address
         self._listeners: list[Callable[[], None]] = []
 
-    def on_older_copy(self, listener: Callable[[], None]) -> None:
+    def add_rollback_listener(self, listener: Callable[[], None]) -> None:
         """Has a listener told when the store is back from an older copy."""
         self._listeners.append(listener)
 
@@ -132,13 +132,13 @@
             generation = reply.generation
             found = page.decode_newest(reply.body)
             # Pages are no snapshot: what changes meanwhile is read again.
-            end = place.make_place(generation, found.end)
+            end = stream_position.make_position(generation, found.end)
             first_end = end if first_end is None else first_end
             records.extend(
                 Change(
                     item.key,
                     page.decode_value(item.value),
-                    place.make_place(generation, item.offset),
+                    stream_position.make_position(generation, item.offset),
                 )
                 for item in found.items
             )
@@ -150,8 +150,8 @@
         self,
         topic: str,
         offset: int,
-        wait_s: float = WAIT_S,
-        timeout_s: float = WAIT_S + log_reader.RESPONSE_MARGIN_S,
+        wait_s: float = READ_WAIT_S,
+        timeout_s: float = READ_WAIT_S + log_reader.RESPONSE_MARGIN_S,
         on_bytes: OnBytes = _note_nothing,
     ) -> Changes:
         """Returns records from an offset on, waiting if there are none.
@@ -172,11 +172,11 @@
         query = {
             "topic": topic,
             "part": "0",
-            "from": str(place.get_offset(offset)),
-            WAIT_FIELD: str(int(wait_s * 1000)),
+            "from": str(stream_position.get_offset(offset)),
+            WAIT_PARAMETER: str(int(wait_s * 1000)),
         }
         reply = await self._ask(READ_PATH, query, timeout_s, on_bytes)
-        if reply.generation != place.get_generation(offset):
+        if reply.generation != stream_position.get_generation(offset):
             # What stands at that offset now is not what follows.
             raise TrimmedError(f"the store is back from an older copy: {topic}")
         return page.decode_records(reply.body, offset)
@@ -199,13 +199,13 @@
         record = bytes([len(key)]) + key.encode() + value
         query = {"topic": topic, "part": "0"}
         if end is not None:
-            query["asOf"] = str(place.get_offset(end))
+            query["asOf"] = str(stream_position.get_offset(end))
         await self._ask(
             APPEND_PATH,
             query,
             log_reader.CALL_TIMEOUT_S,
             _note_nothing,
-            page.LENGTH.pack(len(record)) + record,
+            page.RECORD_LENGTH.pack(len(record)) + record,
         )
 
     async def _ask(
@@ -215,7 +215,7 @@
         timeout_s: float,
         on_bytes: OnBytes,
         sent: bytes | None = None,
-    ) -> Reply:
+    ) -> StoreResponse:
         """Makes one call; returns its answer.
 
         Args:
@@ -226,7 +226,7 @@
             sent: The body of a call that writes; None for one that reads.
         """
         target = f"{path}?{urllib.parse.urlencode(query)}"
-        reply: Reply | None = None
+        reply: StoreResponse | None = None
         try:
             with anyio.move_on_after(timeout_s) as scope:
 
@@ -274,7 +274,7 @@
 
     async def _call(
         self, target: str, on_bytes: OnBytes, sent: bytes | None
-    ) -> Reply:
+    ) -> StoreResponse:
         """Sends one request on a connection of its own.
 
         A connection that has lost an answer never says anything again, so none
@@ -290,7 +290,7 @@
             target=target,
             headers=headers,
         )
-        with anyio.fail_after(CONNECT_S):
+        with anyio.fail_after(CONNECT_TIMEOUT_S):
             stream = await anyio.connect_tcp(host, int(port))
         async with stream:
             _set_keep_alive(stream)
@@ -306,8 +306,8 @@
     raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
     for level, option, value in (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S),
         (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     ):
         raw.setsockopt(level, option, value)
@@ -315,7 +315,7 @@
 
 async def _read_answer(
     http: h11.Connection, stream: anyio.abc.SocketStream, on_bytes: OnBytes
-) -> Reply:
+) -> StoreResponse:
     status = 0
     generation = 0
     parts: list[bytes] = []
@@ -323,7 +323,7 @@
         event = http.next_event()
         if event is h11.NEED_DATA:
             try:
-                http.receive_data(await stream.receive(READ_BYTES))
+                http.receive_data(await stream.receive(RECEIVE_BYTES))
                 on_bytes()
             except anyio.EndOfStream:
                 http.receive_data(b"")
@@ -333,7 +333,7 @@
         elif isinstance(event, h11.Data):
             parts.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            return Reply(status, generation, b"".join(parts))
+            return StoreResponse(status, generation, b"".join(parts))
         else:
             raise StoreError("the store closed without an answer")
 
@@ -347,6 +347,6 @@
     text = dict(headers).get(GENERATION_HEADER.lower().encode())
     if text is None:
         return 0
-    if not text.isdigit() or int(text) > place.MAX_GENERATION:
+    if not text.isdigit() or int(text) > stream_position.MAX_GENERATION:
         raise StoreError(f"not a generation: {text!r}")
     return int(text)
--- a/ramptray/platform/place.py
+++ b/ramptray/platform/stream_position.py
@@ -17,7 +17,7 @@
 MAX_GENERATION = (1 << (63 - OFFSET_BITS)) - 1
 
 
-def make_place(generation: int, offset: int) -> int:
+def make_position(generation: int, offset: int) -> int:
     """Returns the place of an offset; a negative one stands for no place."""
     return offset if offset < 0 else generation * _OFFSETS + offset
 
--- a/ramptray/platform/topic.py
+++ b/ramptray/platform/topic.py
@@ -32,7 +32,7 @@
         take_changes: TakeChanges,
         on_trouble: Callable[[], None],
     ) -> None:
-        super().__init__(topic, store.WAIT_S, follows_peers=True)
+        super().__init__(topic, store.READ_WAIT_S, follows_peers=True)
         self.mirror = mirror.Mirror()
         self._store = opened
         self._take_changes = take_changes
--- a/ramptray/standin/replica/main.py
+++ b/ramptray/standin/replica/main.py
@@ -164,21 +164,25 @@
         body: bytes,
     ) -> bool:
         faults = self._faults
-        request_id = headers[header.ID.decode()]
-        own = [(header.ID, request_id.encode())]
-        own += [(header.LIMIT, value.encode()) for value in faults.limits]
-        own += [(header.LEAVING, b"1")] if faults.leaving else []
+        request_id = headers[header.REQUEST_ID.decode()]
+        own = [(header.REQUEST_ID, request_id.encode())]
+        own += [
+            (header.SERVER_LIMIT, value.encode()) for value in faults.limits
+        ]
+        own += [(header.SERVER_LEAVING, b"1")] if faults.leaving else []
         self._note_arrival(request_id)
-        if headers.get(header.BACKEND.decode()) != self._settings.name:
+        if headers.get(header.EXPECTED_BACKEND.decode()) != self._settings.name:
             await _send(stream, 421, b"", own)
             return True
         if (
             faults.refuse
             and len(self._ledger.arrived) % faults.refuse_each == 0
         ):
-            own += [(header.PAUSE, value.encode()) for value in faults.pauses]
+            own += [
+                (header.RETRY_AFTER, value.encode()) for value in faults.pauses
+            ]
             self._ledger.refused.append(request_id)
-            await _send(stream, 503, b"", [*own, (header.NOT_RUN, b"1")])
+            await _send(stream, 503, b"", [*own, (header.NOT_EXECUTED, b"1")])
             now = steadyclock.read_running()
             LOG.info(
                 "refused",
@@ -208,7 +212,10 @@
         except anyio.EndOfStream:
             return False
         if faults.surplus:
-            other = [(header.ID, b"other"), (header.SIGNATURE, b"other")]
+            other = [
+                (header.REQUEST_ID, b"other"),
+                (header.SIGNATURE, b"other"),
+            ]
             await stream.send(_format(200, b"surplus", other))
         answer = json.dumps({"path": path, "bytes": len(body)}).encode()
         if faults.unframed:
@@ -248,7 +255,7 @@
         begin = int(headers.get(header.LAST_EVENT.decode(), "0"))
         for number in range(begin + 1, self._settings.events + 1):
             try:
-                await self._work(stream, headers[header.ID.decode()])
+                await self._work(stream, headers[header.REQUEST_ID.decode()])
             except anyio.EndOfStream:
                 return False
             if self._faults.hang_after == number - 1:
--- a/ramptray/standin/store/main.py
+++ b/ramptray/standin/store/main.py
@@ -129,9 +129,9 @@
         if wanted is not None and int(wanted) != offset:
             return responses.Response(status_code=PRECONDITION_FAILED)
         while body:
-            (length,) = page.LENGTH.unpack_from(body)
-            record = body[page.LENGTH.size :][:length]
-            body = body[page.LENGTH.size + length :]
+            (length,) = page.RECORD_LENGTH.unpack_from(body)
+            record = body[page.RECORD_LENGTH.size :][:length]
+            body = body[page.RECORD_LENGTH.size + length :]
             key_end = 1 + record[0]
             topic.append(record[1:key_end].decode(), record[key_end:])
         told = {"offset": offset, "end": len(topic.records)}
@@ -186,7 +186,7 @@
         self._calls += 1
         topic = self._topics[http.query_params["topic"]]
         offset = int(http.query_params["from"])
-        wait_s = int(http.query_params.get(store.WAIT_FIELD, "0")) / 1000
+        wait_s = int(http.query_params.get(store.WAIT_PARAMETER, "0")) / 1000
         if self._faults.silent:
             await _wait_until_gone(http)
         era = self._era
@@ -201,9 +201,9 @@
             bytes([len(key)]) + key.encode() + value
             for key, value in topic.records[offset:]
         ]
-        head = page.POSITIONS.pack(len(topic.records), self._faults.forgotten)
+        head = page.PAGE_HEADER.pack(len(topic.records), self._faults.forgotten)
         body = b"".join(
-            page.LENGTH.pack(len(record)) + record for record in records
+            page.RECORD_LENGTH.pack(len(record)) + record for record in records
         )
         return self._answer(head + body)
 
--- a/test/test_adapter.py
+++ b/test/test_adapter.py
@@ -311,7 +311,7 @@
     for number in range(100):
         names = [b"Server-Mood", f"X-New-{number}".encode()]
         dialect.parse_response_head(200, [(name, b"1") for name in names])
-    assert len(caplog.records) == header.MAX_UNKNOWN
+    assert len(caplog.records) == header.MAX_LOGGED_NAMES
 
 
 def make_record(state: str = "ready") -> bytes:
@@ -326,7 +326,7 @@
     ).encode()
 
 
-def list_usable(book: replicas.ReplicaBook) -> set[str]:
+def list_usable(book: replicas.ReplicaRegistry) -> set[str]:
     """Returns the replicas that may get new work."""
     listed = book.list_replicas()
     return {name for name, known in listed.items() if not known.leaving}
@@ -336,47 +336,47 @@
     # kl-ramptray, scale-2, seed 193495022005: an owner that was cut off from
     # the store went on granting a replica, and an entry that had seen it go
     # took its address from the grant.
-    book = replicas.ReplicaBook(1.6)
-    book.take_changes([store.Change("a", make_record())], 0.0)
-    book.take_changes([store.Change("a", None)], 10.0)
+    book = replicas.ReplicaRegistry(1.6)
+    book.apply_changes([store.Change("a", make_record())], 0.0)
+    book.apply_changes([store.Change("a", None)], 10.0)
     assert book.list_replicas()["a"].leaving
-    book.expire(10.0 + replicas.FORGET_S)
+    book.expire(10.0 + replicas.GONE_RETENTION_S)
     assert book.list_replicas() == {}
-    book.take_changes([store.Change("a", make_record())], 80.0)
+    book.apply_changes([store.Change("a", make_record())], 80.0)
     assert list_usable(book) == {"a"}
 
 
 def test_a_record_without_sense_is_told_and_passed_over() -> None:
     with pytest.raises(record.RecordError, match="slots"):
         record.parse_record(b'{"service": "lm", "slots": 0}')
-    book = replicas.ReplicaBook(1.6)
-    book.take_changes([store.Change("i", b"nonsense")], 0.0)
+    book = replicas.ReplicaRegistry(1.6)
+    book.apply_changes([store.Change("i", b"nonsense")], 0.0)
     assert book.list_replicas() == {}
 
 
 def test_a_replica_that_leaves_never_comes_back_by_an_old_read() -> None:
-    book = replicas.ReplicaBook(1.6)
-    book.take_changes([store.Change("i", make_record("draining"))], 0.0)
-    book.take_all([store.Change("i", make_record())], 1.0)
+    book = replicas.ReplicaRegistry(1.6)
+    book.apply_changes([store.Change("i", make_record("draining"))], 0.0)
+    book.apply_snapshot([store.Change("i", make_record())], 1.0)
     assert book.list_replicas()["i"].leaving
 
 
 def test_a_single_record_that_goes_is_believed() -> None:
-    book = replicas.ReplicaBook(1.6)
-    book.take_changes([store.Change(n, make_record()) for n in "ab"], 0.0)
-    book.take_changes([store.Change("a", None)], 10.0)
+    book = replicas.ReplicaRegistry(1.6)
+    book.apply_changes([store.Change(n, make_record()) for n in "ab"], 0.0)
+    book.apply_changes([store.Change("a", None)], 10.0)
     assert list_usable(book) == {"b"}
 
 
 def test_records_that_lapsed_with_the_store_are_waited_for() -> None:
-    book = replicas.ReplicaBook(1.6)
-    book.take_changes([store.Change(n, make_record()) for n in "abc"], 0.0)
-    book.note_trouble(9.0)
-    book.note_return(10.0)
-    book.take_changes([store.Change(n, None) for n in "abc"], 10.1)
+    book = replicas.ReplicaRegistry(1.6)
+    book.apply_changes([store.Change(n, make_record()) for n in "abc"], 0.0)
+    book.record_store_error(9.0)
+    book.record_store_recovery(10.0)
+    book.apply_changes([store.Change(n, None) for n in "abc"], 10.1)
     assert not book.expire(12.1)
     assert list_usable(book) == {"a", "b", "c"}
-    book.take_changes([store.Change("a", make_record())], 12.1)
+    book.apply_changes([store.Change("a", make_record())], 12.1)
     assert book.expire(12.3)
     assert list_usable(book) == {"a"}
 
@@ -384,10 +384,10 @@
 def test_a_record_that_goes_after_the_store_is_back_is_not_kept_long() -> None:
     # kl-ramptray, fresh-1715: a replica left two seconds after the store was
     # back and got a request 2.3 s later.
-    book = replicas.ReplicaBook(1.6)
-    book.take_changes([store.Change("a", make_record())], 0.0)
-    book.note_return(10.0)
-    book.take_changes([store.Change("a", None)], 12.0)
+    book = replicas.ReplicaRegistry(1.6)
+    book.apply_changes([store.Change("a", make_record())], 0.0)
+    book.record_store_recovery(10.0)
+    book.apply_changes([store.Change("a", None)], 12.0)
     assert book.expire(13.7)
     assert list_usable(book) == set()
 
@@ -398,27 +398,27 @@
     # had gone after all that had come, and after "kept without a record"
     # dropped three of four live backend servers of a service with "its record
     # is still missing": for good, as nothing more was written about them.
-    book = replicas.ReplicaBook(1.6)
-    book.take_changes([store.Change(n, make_record()) for n in "abc"], 0.0)
-    book.note_return(10.0)
+    book = replicas.ReplicaRegistry(1.6)
+    book.apply_changes([store.Change(n, make_record()) for n in "abc"], 0.0)
+    book.record_store_recovery(10.0)
     went = [store.Change(n, None) for n in "abc"]
     came = [store.Change(n, make_record()) for n in "ab"]
-    book.take_changes([*went, *came], 10.1)
+    book.apply_changes([*went, *came], 10.1)
     book.expire(20.0)
     assert list_usable(book) == {"a", "b"}
 
 
 def test_a_record_that_came_and_went_in_one_answer_has_gone() -> None:
-    book = replicas.ReplicaBook(1.6)
+    book = replicas.ReplicaRegistry(1.6)
     came = [store.Change("a", make_record()), store.Change("b", make_record())]
-    book.take_changes([*came, store.Change("a", None)], 0.0)
+    book.apply_changes([*came, store.Change("a", None)], 0.0)
     assert list_usable(book) == {"b"}
 
 
 def test_records_that_go_together_are_kept_for_a_moment() -> None:
-    book = replicas.ReplicaBook(1.6)
-    book.take_changes([store.Change(n, make_record()) for n in "ab"], 0.0)
-    book.take_changes([store.Change(n, None) for n in "ab"], 10.0)
+    book = replicas.ReplicaRegistry(1.6)
+    book.apply_changes([store.Change(n, make_record()) for n in "ab"], 0.0)
+    book.apply_changes([store.Change(n, None) for n in "ab"], 10.0)
     assert not book.expire(11.5)
     assert book.expire(11.7)
     assert list_usable(book) == set()
@@ -440,8 +440,8 @@
         self,
         topic: str,
         offset: int,
-        wait_s: float = store.WAIT_S,
-        timeout_s: float = store.WAIT_S,
+        wait_s: float = store.READ_WAIT_S,
+        timeout_s: float = store.READ_WAIT_S,
         on_bytes: Callable[[], Any] = list,
     ) -> store.Changes:
         self.waits.append(wait_s)
@@ -459,7 +459,7 @@
         target: str,
         on_bytes: Callable[[], None],
         sent: bytes | None,
-    ) -> store.Reply:
+    ) -> store.StoreResponse:
         try:
             await anyio.sleep_forever()
         finally:
--- a/test/test_evacuation.py
+++ b/test/test_evacuation.py
@@ -23,33 +23,33 @@
     return store.Change(f"evacuate/{zone}", b"{}" if stands else None)
 
 
-def make_bundle(book: evacuation.EvacuationBook) -> model.Bundle:
+def make_bundle(book: evacuation.EvacuationRegistry) -> model.Bundle:
     """Returns a bundle with a replica in each zone, named like it."""
-    found = replicas.ReplicaBook(1.6)
+    found = replicas.ReplicaRegistry(1.6)
     for zone in ZONES:
         record = test_replicas.make_record(zone=zone)
-        found.take_changes([store.Change(zone, record)], 0.0)
+        found.apply_changes([store.Change(zone, record)], 0.0)
     declared = config.parse_config(json.dumps(node.make_config(1)))
     return follower.add_replicas(declared, found.list_replicas(), book.zones)
 
 
-def list_candidates(book: evacuation.EvacuationBook) -> set[str]:
+def list_candidates(book: evacuation.EvacuationRegistry) -> set[str]:
     """Returns what an owner would grant."""
     infos = rules.list_backend_infos(make_bundle(book), test_replicas.SHARD)
     return {info.name for info in infos}
 
 
 def test_an_evacuated_zone_gets_nothing_until_the_order_is_taken_back() -> None:
-    book = evacuation.EvacuationBook()
-    assert book.take([order("waw-a")], False, 0.0)
+    book = evacuation.EvacuationRegistry()
+    assert book.apply([order("waw-a")], False, 0.0)
     assert list_candidates(book) == {"waw-b"}
-    assert book.take([order("waw-a", False)], False, 1.0)
+    assert book.apply([order("waw-a", False)], False, 1.0)
     assert list_candidates(book) == set(ZONES)
 
 
 def test_an_entry_declines_what_an_owner_grants_there() -> None:
-    book = evacuation.EvacuationBook()
-    book.take([order("waw-a")], False, 0.0)
+    book = evacuation.EvacuationRegistry()
+    book.apply([order("waw-a")], False, 0.0)
     known = network.Network()
     envelope = signature.Envelope("", {})
     known.take_in_force(acceptance.InForce(make_bundle(book), envelope))
@@ -62,21 +62,21 @@
 
 
 def test_an_order_that_an_older_copy_lacks_stands_until_written_again() -> None:
-    book = evacuation.EvacuationBook()
-    book.take([order("waw-a")], True, 0.0)
-    assert not book.take([], True, 10.0)
-    assert not book.expire(10.0 + evacuation.HOLD_S / 2)
-    book.take([order("waw-a")], False, 12.0)
+    book = evacuation.EvacuationRegistry()
+    book.apply([order("waw-a")], True, 0.0)
+    assert not book.apply([], True, 10.0)
+    assert not book.expire(10.0 + evacuation.MISSING_ORDER_RETENTION_S / 2)
+    book.apply([order("waw-a")], False, 12.0)
     assert not book.expire(100.0)
     assert book.zones == {"waw-a"}
 
 
 def test_an_order_that_was_taken_back_unseen_ends_after_a_while() -> None:
-    book = evacuation.EvacuationBook()
-    book.take([order("waw-a")], True, 0.0)
-    book.take([], True, 10.0)
-    assert book.is_waiting
-    assert book.expire(10.0 + evacuation.HOLD_S)
+    book = evacuation.EvacuationRegistry()
+    book.apply([order("waw-a")], True, 0.0)
+    book.apply([], True, 10.0)
+    assert book.has_missing_records
+    assert book.expire(10.0 + evacuation.MISSING_ORDER_RETENTION_S)
     assert not book.zones
 
 
@@ -88,10 +88,10 @@
     written: list[tuple[str, bool]], cut: int
 ) -> None:
     changes = [order(*each) for each in written]
-    at_once, in_two = (evacuation.EvacuationBook() for _ in range(2))
-    at_once.take(changes, False, 0.0)
-    in_two.take(changes[:cut], False, 0.0)
-    in_two.take(changes[cut:], False, 1.0)
+    at_once, in_two = (evacuation.EvacuationRegistry() for _ in range(2))
+    at_once.apply(changes, False, 0.0)
+    in_two.apply(changes[:cut], False, 0.0)
+    in_two.apply(changes[cut:], False, 1.0)
     last = dict(written)
     assert at_once.zones == in_two.zones == {z for z in last if last[z]}
 
--- a/test/test_prefix_placement.py
+++ b/test/test_prefix_placement.py
@@ -164,7 +164,10 @@
 def test_parts_after_an_invalid_one_are_ignored() -> None:
     asked = read_prefix(b"a:10,b:,c:30")
     assert asked.prefix_tokens == (10,)
-    assert len(read_prefix(b",".join([b"a:1"] * 99)).prefix) == header.MAX_PARTS
+    assert (
+        len(read_prefix(b",".join([b"a:1"] * 99)).prefix)
+        == header.MAX_PREFIX_PARTS
+    )
 
 
 def test_a_request_keeps_its_prefix_sizes_when_encoded() -> None:
--- a/test/test_regions.py
+++ b/test/test_regions.py
@@ -103,10 +103,10 @@
 
 def test_backend_servers_have_the_region_of_their_zone() -> None:
     declared = config.parse_config(json.dumps(node.make_config(1)))
-    book = replicas.ReplicaBook(1.6)
+    book = replicas.ReplicaRegistry(1.6)
     for zone in REGIONS:
         record = test_replicas.make_record(zone=zone)
-        book.take_changes([store.Change(f"i-{zone}", record)], 0.0)
+        book.apply_changes([store.Change(f"i-{zone}", record)], 0.0)
     bundle = follower.add_replicas(
         declared, book.list_replicas(), regions=REGIONS
     )
--- a/test/test_replicas.py
+++ b/test/test_replicas.py
@@ -41,21 +41,23 @@
     return json.dumps({**GOOD, **changes}).encode()
 
 
-def make_book(*records: tuple[str, bytes]) -> replicas.ReplicaBook:
-    book = replicas.ReplicaBook(1.6)
+def make_book(*records: tuple[str, bytes]) -> replicas.ReplicaRegistry:
+    book = replicas.ReplicaRegistry(1.6)
     tell(book, *records)
     return book
 
 
 def tell(
-    book: replicas.ReplicaBook, *records: tuple[str, bytes], now: float = 0.0
+    book: replicas.ReplicaRegistry,
+    *records: tuple[str, bytes],
+    now: float = 0.0,
 ) -> None:
     """Lets a book read records one after the other."""
     for name, value in records:
-        book.take_changes([store.Change(name, value)], now)
+        book.apply_changes([store.Change(name, value)], now)
 
 
-def list_candidates(book: replicas.ReplicaBook) -> set[str]:
+def list_candidates(book: replicas.ReplicaRegistry) -> set[str]:
     """Returns what an owner would grant, by the whole path from the store."""
     declared = config.parse_config(json.dumps(node.make_config(1)))
     bundle = follower.add_replicas(declared, book.list_replicas())
@@ -75,7 +77,7 @@
 
 def test_a_replica_whose_record_went_is_used_when_it_is_back() -> None:
     book = make_book(("i", make_record(state="draining")))
-    book.take_changes([store.Change("i", None)], 1.0)
+    book.apply_changes([store.Change("i", None)], 1.0)
     assert list_candidates(book) == set()
     tell(book, ("i", make_record(born=SECOND)), now=2.0)
     assert list_candidates(book) == {"i"}
@@ -93,7 +95,7 @@
 def test_an_old_read_of_the_run_before_changes_nothing() -> None:
     book = make_book(("i", make_record(born=SECOND, slots=4)))
     before = book.list_replicas()
-    book.take_all([store.Change("i", make_record(state="draining"))], 1.0)
+    book.apply_snapshot([store.Change("i", make_record(state="draining"))], 1.0)
     assert book.list_replicas() == before
 
 
@@ -110,18 +112,18 @@
     assert list_candidates(book) == {"i"}
 
 
-def hear(book: replicas.ReplicaBook, value: bytes) -> None:
+def hear(book: replicas.ReplicaRegistry, value: bytes) -> None:
     """Lets a book take all that a peer holds: one record."""
     peer = mirror.Mirror()
     peer.apply(store.Changes([store.Change("i", value)], 1), True)
     told = mirror.Mirror().unpack(peer.make_update("topic", -1))
-    book.take_all(told.records, 1.0)
+    book.apply_snapshot(told.records, 1.0)
 
 
 # What an owner has learned of the run before.
 
 
-def make_owner(book: replicas.ReplicaBook) -> shard.ShardOwner:
+def make_owner(book: replicas.ReplicaRegistry) -> shard.ShardOwner:
     declared = config.parse_config(json.dumps(node.make_config(1)))
     bundle = follower.add_replicas(declared, book.list_replicas())
     return shard.ShardOwner(
@@ -135,7 +137,7 @@
     )
 
 
-def configure(owner: shard.ShardOwner, book: replicas.ReplicaBook) -> None:
+def configure(owner: shard.ShardOwner, book: replicas.ReplicaRegistry) -> None:
     declared = config.parse_config(json.dumps(node.make_config(1)))
     bundle = follower.add_replicas(declared, book.list_replicas())
     owner.configure(
@@ -277,7 +279,7 @@
 @pytest.mark.parametrize("value", UNREADABLE, ids=lambda v: repr(v[:12]))
 def test_unreadable_bytes_over_a_good_record_end_its_use(value: bytes) -> None:
     book = make_book(("i", make_record()))
-    book.take_changes(
+    book.apply_changes(
         [store.Change("i", value), store.Change("j", make_record())], 1.0
     )
     assert list_candidates(book) == {"j"}
@@ -286,33 +288,33 @@
 
 
 def test_a_record_of_a_zone_that_is_not_known_names_no_replica() -> None:
-    book = replicas.ReplicaBook(1.6, frozenset({"waw-a"}))
+    book = replicas.ReplicaRegistry(1.6, frozenset({"waw-a"}))
     tell(book, ("i", make_record(zone="mars")), ("j", make_record()))
     assert list_candidates(book) == {"j"}
 
 
 def test_an_older_record_of_the_store_changes_nothing() -> None:
     # The clock of the replica was set back between its two runs.
-    book = replicas.ReplicaBook(1.6)
+    book = replicas.ReplicaRegistry(1.6)
     first = store.Change("i", make_record(born=SECOND, state="draining"), 7)
-    book.take_changes([first], 0.0)
-    book.take_changes([store.Change("i", make_record(born=FIRST), 9)], 1.0)
+    book.apply_changes([first], 0.0)
+    book.apply_changes([store.Change("i", make_record(born=FIRST), 9)], 1.0)
     assert list_candidates(book) == {"i"}
-    book.take_all([first], 2.0, end=8)
+    book.apply_snapshot([first], 2.0, end=8)
     assert list_candidates(book) == {"i"}
-    book.take_all([], 3.0, end=8)
+    book.apply_snapshot([], 3.0, end=8)
     book.expire(99.0)
     assert list_candidates(book) == {"i"}
 
 
 @pytest.mark.parametrize("record", [b"", b"\x05ab", b"\x02\xff\xfe{}"])
 def test_a_key_that_cannot_be_read_hides_no_other(record: bytes) -> None:
-    body = page.POSITIONS.pack(2, 0)
+    body = page.PAGE_HEADER.pack(2, 0)
     for each in (record, b"\x01j" + make_record()):
-        body += page.LENGTH.pack(len(each)) + each
+        body += page.RECORD_LENGTH.pack(len(each)) + each
     book = make_book(("ab", make_record()))
     changes = page.decode_records(body, 0)
-    book.take_changes(changes.records, 1.0)
+    book.apply_changes(changes.records, 1.0)
     assert changes.end == 2
     assert list_candidates(book) == {"ab", "j"}
 
@@ -371,16 +373,16 @@
         *((f"odd-{number}", value) for number, value in enumerate(odd)),
         ("other", make_record()),
     ]
-    body = page.POSITIONS.pack(len(records), 0)
+    body = page.PAGE_HEADER.pack(len(records), 0)
     for name, value in records:
         record = bytes([len(name)]) + name.encode() + value
-        body += page.LENGTH.pack(len(record)) + record
+        body += page.RECORD_LENGTH.pack(len(record)) + record
     changes = page.decode_records(body, 0).records
     if whole:
         changes = [*changes, store.Change("good", make_record())]
-        book.take_all(changes, 1.0)
+        book.apply_snapshot(changes, 1.0)
     else:
-        book.take_changes(changes, 1.0)
+        book.apply_changes(changes, 1.0)
     candidates = list_candidates(book)
     assert {"good", "other"} <= candidates
     for name in candidates - {"good", "other"}:
--- a/test/test_rollout.py
+++ b/test/test_rollout.py
@@ -286,7 +286,9 @@
 
 
 def test_invalid_order_is_ignored() -> None:
-    orders = platform_rollout.OrderBook(settings.RolloutTerms(0.1, 50))
+    orders = platform_rollout.RolloutOrderRegistry(
+        settings.RolloutTerms(0.1, 50)
+    )
     good = {"service": "lm", "targetVersion": "v2", "durationS": 12}
     bad = [
         b"{}",
@@ -295,13 +297,13 @@
         json.dumps({**good, "targetVersion": ""}).encode(),
     ]
     for value in bad:
-        assert not orders.take([store.Change("rollout/lm", value)], False, 0.0)
+        assert not orders.apply([store.Change("rollout/lm", value)], False, 0.0)
     change = store.Change("rollout/lm", json.dumps(good).encode())
-    assert orders.take([change], False, 5.0)
+    assert orders.apply([change], False, 5.0)
     # Reading the same order again does not restart the rollout.
-    assert not orders.take([change], True, 9.0)
+    assert not orders.apply([change], True, 9.0)
     assert orders.list_orders()["lm"].began_at == 5.0
-    assert orders.take([store.Change("rollout/lm", None)], False, 9.0)
+    assert orders.apply([store.Change("rollout/lm", None)], False, 9.0)
 
 
 @pytest.fixture
--- a/test/test_warm_up.py
+++ b/test/test_warm_up.py
@@ -27,10 +27,10 @@
     declared = config.parse_config(
         json.dumps(node.make_config(1, services=[service]))
     )
-    book = replicas.ReplicaBook(1.6)
+    book = replicas.ReplicaRegistry(1.6)
     record = test_replicas.make_record(coldMs=cold_s * 1000, slots=100)
     for number in range(SERVERS):
-        book.take_changes([store.Change(f"i{number}", record)], 0.0)
+        book.apply_changes([store.Change(f"i{number}", record)], 0.0)
     bundle = follower.add_replicas(declared, book.list_replicas())
     limits = limit.Limits({})
     limits.set_part(part)
@@ -102,10 +102,10 @@
 
 
 def test_a_record_that_is_read_again_does_not_restart_the_warm_up() -> None:
-    book = replicas.ReplicaBook(1.6)
+    book = replicas.ReplicaRegistry(1.6)
     change = store.Change("i", test_replicas.make_record(coldMs=3000), 7)
-    book.take_changes([change], 0.0)
-    book.take_all([change], 10.0, 8)
+    book.apply_changes([change], 0.0)
+    book.apply_snapshot([change], 10.0, 8)
     assert book.list_replicas()["i"].warm_at == COLD_S
 
 
