--- a/ramptray/platform/header.py
+++ b/ramptray/platform/header.py
@@ -177,7 +177,7 @@
             headers=_leave_out(headers, frozenset({NOT_EXECUTED})),
             request_id=_read_text(values.get(REQUEST_ID)),
             not_run=NOT_EXECUTED in values or status == _MISDIRECTED,
-            idle_timeout_s=_read_keep_alive(values.get(_KEEP_ALIVE, b"")),
+            idle_s=_read_keep_alive(values.get(_KEEP_ALIVE, b"")),
             limit_per_s=self._read_decimal(headers, SERVER_LIMIT),
             is_leaving=SERVER_LEAVING in values and self._read_leaving(headers),
             pause_s=(
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -25,8 +25,8 @@
 LEAVING = server_hints.HeadReceived("r0", "s0", 0, is_leaving=True, owner=OURS)
 
 
-class RecordingHintBook(server_hints.HintBook):
-    """A hint book that records messages instead of sending them."""
+class RecordingHintBook(server_hints.ServerHintStore):
+    """A hint store that records messages instead of sending them."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, message.ServerHints]] = []
@@ -79,7 +79,7 @@
         book.find_unusable_reason("s0", 0, 3.0)
         is server_hints.UnusableReason.LEAVING
     )
-    book.discard_except([], 2.0 + server_hints.FORGET_LEAVING_S)
+    book.discard_except([], 2.0 + server_hints.LEAVING_RETENTION_S)
     assert book.find_unusable_reason("s0", 0, 700.0) is None
     assert book.count_leaving() == 0
 
