--- /dev/null
+++ b/ramptray/entry/timeouts.py
@@ -0,0 +1,66 @@
+"""Timeouts of an entry's requests that wait for schedulers."""
+
+from __future__ import annotations
+
+from ramptray.core import message, request
+from ramptray.entry import owners
+from ramptray.entry import ticket as tickets
+
+NO_OWNER_TIMEOUT_S = 3.0
+"""How long a request waits for any scheduler before it is rejected."""
+
+REFUSAL_GRACE_S = 0.12
+"""How long after the end of its waiting time a request is still left to its
+owner, in seconds.  The owner should have rejected it by then."""
+
+QUEUE_SILENCE_TIMEOUT_S = 0.4
+"""How long a scheduler with queued requests may be silent, in seconds.  It
+sends more than two keep-alive messages in this time."""
+
+
+def is_owner_silent(
+    ticket: tickets.Ticket,
+    owner_selector: owners.OwnerSelector,
+    owner: str,
+    now: float,
+) -> bool:
+    """Returns whether a request's owner has been silent for too long.
+
+    A message about any request shows that the owner is alive, even if it is too
+    busy to decide on this one.
+
+    Args:
+        ticket: The request.
+        owner_selector: Times of the owners' messages and replies.
+        owner: Address of the request's owner.
+        now: The entry's clock.
+    """
+    silence_s = owner_selector.get_silence_s(owner, ticket.enqueued_at, now)
+    if ticket.awaiting_reply:
+        return silence_s > owner_selector.get_reply_timeout_s(owner)
+    return silence_s > QUEUE_SILENCE_TIMEOUT_S
+
+
+def find_timeout_reason(
+    ticket: tickets.Ticket, now: float
+) -> message.Reason | None:
+    """Returns why a waiting request has timed out; None if it has not."""
+    if ticket.machine.state is not request.State.WAITING:
+        return None
+    if now >= ticket.deadline:
+        pending = ticket.machine.claim is request.Claim.PENDING
+        granted = ticket.machine.grant is not None
+        if pending and granted:
+            return message.Reason.LOG_UNAVAILABLE
+        return message.Reason.DEADLINE
+    wait_s = ticket.info.wait_s
+    if wait_s is not None:
+        # After a failed attempt, the owner needs time to decide on the retry.
+        due = max(ticket.started_at + wait_s, ticket.enqueued_at)
+        if now > due + REFUSAL_GRACE_S:
+            # The owner should have rejected it by now.
+            return message.Reason.OVERLOADED
+    no_owner_since = ticket.no_owner_since
+    if no_owner_since is not None and now - no_owner_since > NO_OWNER_TIMEOUT_S:
+        return message.Reason.NOT_READY
+    return None
--- a/test/test_server_hints.py
+++ b/test/test_server_hints.py
@@ -10,7 +10,13 @@
 from ramptray.entry import ticket as tickets
 from ramptray.peer import attachment
 from ramptray.scheduler import observations
-from test.test_dispatcher import OTHER, OURS, Desk, anyio_backend, desk
+from test.test_dispatcher import (
+    OTHER,
+    OURS,
+    RecordingDispatcher,
+    anyio_backend,
+    recorder,
+)
 from test.test_rate_limit import (
     announce_limit,
     list_grants,
@@ -20,13 +26,13 @@
 )
 
 # Imported fixtures.
-__all__ = ["anyio_backend", "desk"]
+__all__ = ["anyio_backend", "recorder"]
 
 LEAVING = server_hints.HeadReceived("r0", "s0", 0, is_leaving=True, owner=OURS)
 
 
-class RecordingHintBook(server_hints.HintBook):
-    """A hint book that records messages instead of sending them."""
+class RecordingHintBook(server_hints.ServerHintStore):
+    """A hint store that records messages instead of sending them."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, message.ServerHints]] = []
@@ -37,11 +43,13 @@
         )
 
 
-def list_hints(desk: Desk) -> list[tuple[str, message.ServerHints]]:
+def list_hints(
+    recorder: RecordingDispatcher,
+) -> list[tuple[str, message.ServerHints]]:
     """Returns the hints that an entry has sent, with their addresses."""
     return [
         (address, body)
-        for address, body in desk.sent
+        for address, body in recorder.sent
         if isinstance(body, message.ServerHints)
     ]
 
@@ -79,25 +87,25 @@
         book.find_unusable_reason("s0", 0, 3.0)
         is server_hints.UnusableReason.LEAVING
     )
-    book.discard_except([], 2.0 + server_hints.FORGET_LEAVING_S)
+    book.discard_except([], 2.0 + server_hints.LEAVING_RETENTION_S)
     assert book.find_unusable_reason("s0", 0, 700.0) is None
     assert book.count_leaving() == 0
 
 
 def test_returned_grant_is_sent_after_the_hint_and_counts_no_attempt(
-    desk: Desk,
+    recorder: RecordingDispatcher,
 ) -> None:
-    desk.hear(
+    recorder.receive(
         attachment.MessageReceived(OURS, message.Grant("r1", "g", "s0", OURS))
     )
-    desk.server_hints.observe(LEAVING, 1.0)
-    desk.sent.clear()
+    recorder.server_hints.observe(LEAVING, 1.0)
+    recorder.sent.clear()
     unusable = tickets.GrantUnusable("r1", server_hints.UnusableReason.LEAVING)
-    desk._handle(unusable, 1.0)
+    recorder._handle(unusable, 1.0)
     hints = message.ServerHints("s0", 0, is_leaving=True)
     decline = message.Decline("r1", "g", waits=True)
-    assert desk.sent == [(OURS, hints), (OURS, decline)]
-    ticket = desk._tickets["r1"]
+    assert recorder.sent == [(OURS, hints), (OURS, decline)]
+    ticket = recorder._tickets["r1"]
     assert ticket.machine.dispatches == 0
     assert ticket.tried == ()
 
