--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -1,4 +1,4 @@
-"""Further attempts, late requests, silent owners and unreachable servers."""
+"""Retries, queueing, rate limits, silent owners and unreachable servers."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def grant(machine: request.RequestMachine, backend: str) -> bool:
-    """Grants a backend server; tells whether the request is dispatched."""
+    """Grants a backend server; returns whether the request is dispatched."""
     effects = machine.receive_grant(
         message.Grant("r", f"g-{backend}", backend, OWNER)
     )
@@ -51,7 +51,7 @@
 def fail(
     machine: request.RequestMachine, not_run: bool, may_repeat: bool = True
 ) -> request.Finish | None:
-    """Ends an attempt; returns what the caller is told, if it ends."""
+    """Fails an attempt; returns the request's result if the request ends."""
     ended = message.Ended("r", 0, 0.0, False)
     finish = request.Finish(
         message.Outcome.UNKNOWN, message.Reason.BACKEND_LOST
@@ -90,7 +90,7 @@
     assert repeatable or may_have_run <= 1
 
 
-def test_a_refusal_after_a_run_does_not_say_not_run() -> None:
+def test_a_rejection_after_a_run_is_not_reported_as_not_run() -> None:
     machine = request.RequestMachine(
         make_info(repeatable=True, max_attempts=3), False
     )
@@ -103,26 +103,30 @@
     assert finish.outcome is message.Outcome.UNKNOWN
 
 
-def test_late_requests_go_behind_those_in_time() -> None:
-    waiting = queue.ShardQueue({"t": 0})
-    late = waiting.make(make_info(request_id="a", objective_s=1.0), "e", 0.0)
-    fresh = waiting.make(make_info(request_id="b", objective_s=9.0), "e", 0.0)
-    waiting.push(late)
-    waiting.push(fresh)
-    waiting.demote(late)
-    order = [w for tier in waiting.tiers for w in tier.list_all()]
+def test_late_requests_are_queued_behind_those_in_time() -> None:
+    shard_queue = queue.ShardQueue({"t": 0})
+    late = shard_queue.make(
+        make_info(request_id="a", objective_s=1.0), "e", 0.0
+    )
+    fresh = shard_queue.make(
+        make_info(request_id="b", objective_s=9.0), "e", 0.0
+    )
+    shard_queue.push(late)
+    shard_queue.push(fresh)
+    shard_queue.demote(late)
+    order = [w for tier in shard_queue.tiers for w in tier.list_all()]
     assert [w.request.request_id for w in order] == ["b", "a"]
-    waiting.set_ranks({"t": 0, "u": 1})
-    order = [w for tier in waiting.tiers for w in tier.list_all()]
+    shard_queue.set_ranks({"t": 0, "u": 1})
+    order = [w for tier in shard_queue.tiers for w in tier.list_all()]
     assert [w.request.request_id for w in order] == ["b", "a"]
 
 
-def test_a_request_is_refused_when_it_has_waited_long_enough() -> None:
-    waiting = queue.ShardQueue({"t": 0})
-    held = waiting.make(make_info(wait_s=1.0), "e", 0.0)
-    waiting.push(held)
-    assert waiting.list_expired(0.9) == []
-    assert waiting.list_expired(1.0) == [held]
+def test_a_request_expires_at_its_maximum_wait() -> None:
+    shard_queue = queue.ShardQueue({"t": 0})
+    held = shard_queue.make(make_info(wait_s=1.0), "e", 0.0)
+    shard_queue.push(held)
+    assert shard_queue.list_expired(0.9) == []
+    assert shard_queue.list_expired(1.0) == [held]
 
 
 def test_the_retry_budget_counts_over_a_window() -> None:
@@ -136,36 +140,39 @@
 
 
 def make_owners() -> owners.OwnerSelector:
-    made = owners.OwnerSelector("all", LOCAL)
+    selector = owners.OwnerSelector("all", LOCAL)
     members = [
         membership.Member("vm-a", "all", LOCAL, 1),
         membership.Member("vm-b", "all", OWNER, 1),
     ]
-    made.apply_view(peer_message.View(members, []))
-    return made
+    selector.apply_view(peer_message.View(members, []))
+    return selector
 
 
-def find_foreign_shard(made: owners.OwnerSelector) -> message.ShardKey:
+def find_foreign_shard(selector: owners.OwnerSelector) -> message.ShardKey:
     """Returns a shard that the other VM owns."""
     shards = (message.ShardKey("all", f"s{n}") for n in range(50))
-    return next(s for s in shards if made.find_owner(s, 0.0) == OWNER)
-
-
-def test_the_local_scheduler_stands_in_for_a_silent_owner() -> None:
-    made = make_owners()
-    shard = find_foreign_shard(made)
-    assert made.back_off(OWNER, 10.0)
-    assert not made.back_off(OWNER, 10.1)
-    assert made.find_owner(shard, 10.5) == LOCAL
-    assert made.find_owner(shard, 10.0 + owners.FIRST_BACKOFF_S) == OWNER
-    assert made.back_off(OWNER, 12.0)
-    assert made.find_owner(shard, 12.0 + owners.FIRST_BACKOFF_S * 1.5) == LOCAL
-    made.record_message(OWNER, 12.1)
-    assert made.find_owner(shard, 12.2) == OWNER
+    return next(s for s in shards if selector.find_owner(s, 0.0) == OWNER)
+
+
+def test_the_local_scheduler_replaces_a_silent_owner() -> None:
+    selector = make_owners()
+    shard = find_foreign_shard(selector)
+    assert selector.back_off(OWNER, 10.0)
+    assert not selector.back_off(OWNER, 10.1)
+    assert selector.find_owner(shard, 10.5) == LOCAL
+    assert selector.find_owner(shard, 10.0 + owners.FIRST_BACKOFF_S) == OWNER
+    assert selector.back_off(OWNER, 12.0)
+    assert (
+        selector.find_owner(shard, 12.0 + owners.FIRST_BACKOFF_S * 1.5) == LOCAL
+    )
+    selector.record_message(OWNER, 12.1)
+    assert selector.find_owner(shard, 12.2) == OWNER
 
 
-def test_one_of_the_same_zone_stands_in_for_a_silent_owner() -> None:
-    # 89 VMs that each stand in for themselves fill the same engines.
+def test_vms_of_a_zone_agree_on_the_replacement_of_a_silent_owner() -> None:
+    # If each of 89 VMs replaced the owner by itself, all of them together would
+    # overload the same engines.
     shard = message.ShardKey("all", "lm")
     zones = {f"vm{n}": "a" if n < 4 else "b" for n in range(8)}
     members = [
@@ -174,23 +181,25 @@
         )
         for n, (vm, zone) in enumerate(zones.items())
     ]
-    made = [owners.OwnerSelector("all", f"vm{n}:1") for n in range(4)]
-    for one in made:
+    selectors = [owners.OwnerSelector("all", f"vm{n}:1") for n in range(4)]
+    for one in selectors:
         one.apply_view(peer_message.View(members, []))
-    owner = made[0].find_owner(shard, 10.0)
+    owner = selectors[0].find_owner(shard, 10.0)
     assert owner is not None
-    for one in made:
+    for one in selectors:
         assert one.find_owner(shard, 10.0) == owner
         one.back_off(owner, 10.0)
-    (stand_in,) = {one.find_owner(shard, 10.1) for one in made} - {owner}
-    assert stand_in in {"vm1:1", "vm3:1"}
+    (replacement,) = {one.find_owner(shard, 10.1) for one in selectors} - {
+        owner
+    }
+    assert replacement in {"vm1:1", "vm3:1"}
 
 
-def test_the_local_scheduler_is_never_doubted() -> None:
+def test_the_local_scheduler_is_never_suspected() -> None:
     assert not make_owners().back_off(LOCAL, 1.0)
 
 
-def test_a_silent_server_makes_its_zone_doubtful_for_a_moment() -> None:
+def test_a_silent_server_makes_its_zone_suspect_temporarily() -> None:
     known = reachability.Reachability()
     zones = {"a1": "a", "a2": "a", "b1": "b"}
     known.record_connect_failure("a1", "a", 10.0)
@@ -202,7 +211,7 @@
     assert known.list_unreachable(zones, 20.0) == ()
 
 
-def test_a_customer_s_large_requests_get_through_like_small_ones() -> None:
+def test_requests_larger_than_the_bucket_are_admitted() -> None:
     limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 100.0)})
     assert limits.try_acquire("c", 90, 0.0) == 0
     assert limits.try_acquire("c", 500, 0.0) == 0
@@ -210,14 +219,14 @@
     assert limits.try_acquire("c", 1, 5.2) == 0
 
 
-def test_a_change_of_limits_does_not_fill_buckets() -> None:
+def test_a_change_of_limits_does_not_refill_buckets() -> None:
     limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 1000.0)})
     assert limits.try_acquire("c", 1000, 0.0) == 0
     limits.set_rates({"c": limit.RateLimit(None, 110.0, 1000.0)})
     assert limits.try_acquire("c", 10, 0.0) > 0
 
 
-def test_one_side_of_a_cut_hands_out_its_part() -> None:
+def test_one_side_of_a_partition_admits_its_share_of_a_limit() -> None:
     limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 100.0)})
     assert limits.try_acquire("c", 1, 0.0) == 0
     limits.set_part(0.5)
@@ -229,7 +238,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 3, 7, 1000])
-def test_events_are_passed_on_whole(step: int) -> None:
+def test_only_complete_events_are_forwarded(step: int) -> None:
     text = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c"
     splitter = event.EventSplitter()
     whole = b"".join(
@@ -241,7 +250,7 @@
 
 
 class FakeIdleConnection:
-    """An idle connection whose end takes a moment."""
+    """An idle connection whose close yields to other tasks."""
 
     def __init__(self, idle_since: float) -> None:
         self.target = connection.Target("")
@@ -257,9 +266,9 @@
         self.closed = True
 
 
-def test_a_connection_is_never_lent_twice() -> None:
+def test_a_connection_is_never_borrowed_twice() -> None:
     async def run() -> None:
-        kept = client.RelayClient(header.PlatformDialect())
+        pool = client.RelayClient(header.PlatformDialect())
         now = anyio.current_time()
         idle = [
             FakeIdleConnection(now - 60),
@@ -267,25 +276,27 @@
             FakeIdleConnection(now),
             FakeIdleConnection(now - 60),
         ]
-        kept._idle["x:1"] = idle  # type: ignore[assignment]
-        lent: list[object] = []
+        pool._idle["x:1"] = idle  # type: ignore[assignment]
+        borrowed: list[object] = []
 
         async def take() -> None:
-            lent.append(await kept._checkout(connection.Target("x:1"), False))
+            borrowed.append(
+                await pool._checkout(connection.Target("x:1"), False)
+            )
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(take)
-            tasks.start_soon(kept.close_idle, now)
+            tasks.start_soon(pool.close_expired, now)
             tasks.start_soon(take)
-        assert len(set(map(id, lent))) == 2
-        assert not any(c.closed for c in lent)  # type: ignore[attr-defined]
+        assert len(set(map(id, borrowed))) == 2
+        assert not any(c.closed for c in borrowed)  # type: ignore[attr-defined]
 
     anyio.run(run)
 
 
 def test_a_server_whose_answers_break_off_gets_no_work_for_a_while() -> None:
-    # hanbit-qlog, inc-a19c: a replica that reset each connection always had
-    # room, and got the next request at once.
+    # Incident inc-a19c (hanbit-qlog): a replica that reset each connection
+    # always had free capacity and so got the next request at once.
     server = backend.Backend(backend.BackendInfo("b", 4, 10_000, 0))
     for number in range(availability.EJECT_AFTER_BREAKS):
         assert server.is_open(1.0)
@@ -317,32 +328,32 @@
     assert not known.list_suspect_zones()
 
 
-def test_a_connection_from_before_a_cut_is_not_lent() -> None:
+def test_a_connection_from_before_a_network_cut_is_not_reused() -> None:
     async def run() -> None:
-        kept = client.RelayClient(header.PlatformDialect())
+        pool = client.RelayClient(header.PlatformDialect())
         old, other = (
             FakeIdleConnection(anyio.current_time()),
             FakeIdleConnection(anyio.current_time()),
         )
-        kept._idle["127.0.0.1:1"] = [old]  # type: ignore[list-item]
-        kept._idle["y:1"] = [other]  # type: ignore[list-item]
-        kept.expire_idle(["127.0.0.1:1"])
-        lent: object = await kept._checkout(connection.Target("y:1"), False)
-        assert lent is other
+        pool._idle["127.0.0.1:1"] = [old]  # type: ignore[list-item]
+        pool._idle["y:1"] = [other]  # type: ignore[list-item]
+        pool.expire_idle(["127.0.0.1:1"])
+        borrowed: object = await pool._checkout(connection.Target("y:1"), False)
+        assert borrowed is other
         with pytest.raises(connection.NotSentError):
-            await kept._checkout(connection.Target("127.0.0.1:1"), False)
+            await pool._checkout(connection.Target("127.0.0.1:1"), False)
         assert old.closed
 
     anyio.run(run)
 
 
-def test_refused_requests_are_told_to_come_back_one_after_the_other() -> None:
+def test_retry_times_of_refused_requests_are_staggered() -> None:
     limits = limit.Limits({"c": limit.RateLimit(None, 100.0, 100.0)})
     assert limits.try_acquire("c", 100, 0.0) == 0
     first, second = (limits.try_acquire("c", 150, 0.0) for _ in range(2))
     assert 0 < first < 0.1
     assert second == pytest.approx(first + 1.5)
-    # The bucket has earned two seconds' worth since.
+    # Two seconds later the bucket has refilled by 200 tokens.
     assert limits.try_acquire("c", 100, 2.0) == 0
     waits = [limits.try_acquire("c", 500, 2.0) for _ in range(9)]
     assert max(waits) == limit.MAX_RETRY_AFTER_S
--- a/test/test_stream.py
+++ b/test/test_stream.py
@@ -1,4 +1,4 @@
-"""A caller's stream never ends in silence."""
+"""A stream to a caller always ends with an end or an error event."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     return "asyncio"
 
 
-class CutExchange:
-    """An exchange that ends without a word, as one dropped for slowness."""
+class TruncatedExchange:
+    """An exchange whose events stop without an end, as for a slow caller."""
 
     request_id = "r"
 
@@ -30,14 +30,14 @@
         send, self.items = anyio.create_memory_object_stream[Any](10)
         send.send_nowait(event.Event(2, "second"))
         send.close()
-        self.abandoned = False
+        self.cancelled = False
 
-    def abandon(self) -> None:
-        self.abandoned = True
+    def cancel(self) -> None:
+        self.cancelled = True
 
 
-async def test_a_stream_without_an_end_is_ended_by_an_error_event() -> None:
-    served = CutExchange()
+async def test_a_truncated_stream_ends_with_an_error_event() -> None:
+    served = TruncatedExchange()
     info = message.RequestInfo(
         "r", message.ShardKey("z", "s"), "c", "t", 1, 1, (), 9.0
     )
@@ -50,4 +50,4 @@
     assert parts[2].startswith("event: error\ndata: ")
     error = json.loads(parts[2].partition("data: ")[2])["error"]
     assert error["outcome"] == "unknown"
-    assert served.abandoned
+    assert served.cancelled
