--- a/ramptray/command/main.py
+++ b/ramptray/command/main.py
@@ -46,12 +46,12 @@
 
 def run() -> None:
     """Runs the command; errors that a user can mend are shown as one line."""
-    process.set_up_logs("ramptray", "ERROR")
+    process.configure_logging("ramptray", "ERROR")
     try:
         run_group()
     except parsing.InvalidFileError as error:
         click.echo(str(error), err=True)
-        sys.exit(process.EXIT_MISTAKE)
+        sys.exit(process.EXIT_INVALID_INPUT)
     except CommandError as error:
         click.echo(f"ramptray: {error}", err=True)
         sys.exit(process.EXIT_FAILED)
--- a/ramptray/command/timeline.py
+++ b/ramptray/command/timeline.py
@@ -101,7 +101,7 @@
                 event = msgspec.json.decode(line).get("event")
             except (msgspec.DecodeError, AttributeError):
                 continue
-            if event and timeline.concerns(subject, event):
+            if event and timeline.matches_subject(subject, event):
                 yield event
 
 
--- a/ramptray/controller/main.py
+++ b/ramptray/controller/main.py
@@ -114,7 +114,7 @@
     )
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-controller",
     ControllerSettings,
     main,
--- a/ramptray/engine/client.py
+++ b/ramptray/engine/client.py
@@ -209,7 +209,7 @@
         self, method: str, url: str, path: str, **options: Any
     ) -> AsyncIterator[httpcore.Response]:
         timeouts = {"connect": CONNECT_S, "pool": CONNECT_S, "read": SILENCE_S}
-        with httperror.turn_errors(url, NotSentError, BrokenError):
+        with httperror.translate_errors(url, NotSentError, BrokenError):
             async with self._get_pool(url).stream(
                 method,
                 url.rstrip("/") + path,
--- a/ramptray/entry/main.py
+++ b/ramptray/entry/main.py
@@ -55,7 +55,7 @@
         tasks.cancel_scope.cancel()
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-entry",
     EntrySettings,
     main,
--- a/ramptray/httperror.py
+++ b/ramptray/httperror.py
@@ -9,7 +9,7 @@
 
 
 @contextlib.contextmanager
-def turn_errors(
+def translate_errors(
     url: str, not_sent: type[Exception], broken: type[Exception]
 ) -> Iterator[None]:
     """Tells apart whether a request can have been sent.
--- a/ramptray/load/main.py
+++ b/ramptray/load/main.py
@@ -108,7 +108,7 @@
         settings = parsing.read_model(settings_file, plan.LoadSettings)
     except parsing.InvalidFileError as error:
         click.echo(str(error), err=True)
-        sys.exit(process.EXIT_MISTAKE)
+        sys.exit(process.EXIT_INVALID_INPUT)
 
     def show(line: str) -> None:
         click.echo(line, err=True)
--- a/ramptray/logsink.py
+++ b/ramptray/logsink.py
@@ -20,7 +20,7 @@
 MAX_PENDING_BYTES = 256 * 1024
 """Bytes that may wait for a slow reader; beyond it lines are left out."""
 
-REPORT_S = 1.0
+REPORT_INTERVAL_S = 1.0
 """How often it is told how many lines were left out, in seconds."""
 
 GATHER_BYTES = 16 * 1024
@@ -41,7 +41,7 @@
 
     def __init__(self, descriptor: int, lines_per_s: int = LINES_PER_S) -> None:
         super().__init__()
-        self.left_out = 0
+        self.dropped_lines = 0
         self._descriptor = descriptor
         self._lines_per_s = lines_per_s
         self._pending = bytearray()
@@ -56,7 +56,7 @@
         self._stamp = ""
         os.set_blocking(descriptor, False)
 
-    def gather(self, schedule: Schedule | None) -> None:
+    def set_batch_schedule(self, schedule: Schedule | None) -> None:
         """Writes the lines of one turn together, where they are not urgent.
 
         Each write costs a system call, and a request has five lines.  Lines
@@ -73,7 +73,7 @@
         """Writes a line, or counts it as left out."""
         urgent = record.levelno >= logging.WARNING
         if not self._may_write(urgent):
-            self.left_out += 1
+            self.dropped_lines += 1
             return
         try:
             line = self.format(record).encode(errors="replace") + b"\n"
@@ -94,7 +94,7 @@
             event: Its facts, JSON values.
         """
         if not self._may_write(False):
-            self.left_out += 1
+            self.dropped_lines += 1
             return
         line = {
             "time": self._make_stamp(),
@@ -131,7 +131,7 @@
 
     def _write(self, line: bytes, urgent: bool) -> None:
         if len(self._pending) + len(line) > MAX_PENDING_BYTES:
-            self.left_out += 1
+            self.dropped_lines += 1
         else:
             self._pending += line
         gathers = self._schedule is not None and not urgent
@@ -150,7 +150,10 @@
         if int(now) != self._second:
             self._second = int(now)
             self._lines = 0
-        if self.left_out > self._told and now - self._told_at >= REPORT_S:
+        if (
+            self.dropped_lines > self._told
+            and now - self._told_at >= REPORT_INTERVAL_S
+        ):
             self._told_at = now
             self._tell()
         self._lines += 1
@@ -158,8 +161,8 @@
 
     def _tell(self) -> None:
         """Writes how many lines were left out since this was told last."""
-        count = self.left_out - self._told
-        self._told = self.left_out
+        count = self.dropped_lines - self._told
+        self._told = self.dropped_lines
         told = logging.LogRecord(
             __name__, logging.WARNING, "", 0, "log lines left out", None, None
         )
@@ -179,8 +182,8 @@
     return False
 
 
-def gather(schedule: Schedule | None) -> None:
-    """Has lines written together; see ``BoundedHandler.gather``."""
+def set_batch_schedule(schedule: Schedule | None) -> None:
+    """Has lines written together; see ``BoundedHandler.set_batch_schedule``."""
     for handler in logging.getLogger().handlers:
         if isinstance(handler, BoundedHandler):
-            handler.gather(schedule)
+            handler.set_batch_schedule(schedule)
--- a/ramptray/mailbox.py
+++ b/ramptray/mailbox.py
@@ -35,7 +35,7 @@
         if self._is_open and not self._is_handling:
             self._handle_waiting()
 
-    def take_waiting(self) -> list[Any]:
+    def drain(self) -> list[Any]:
         """Returns the events that wait, and handles them no more."""
         waiting = list(self._waiting)
         self._waiting.clear()
--- a/ramptray/node/main.py
+++ b/ramptray/node/main.py
@@ -42,7 +42,7 @@
 
 LOG = logging.getLogger(__name__)
 
-HOLD_S = 1.6
+MISSING_REPLICA_RETENTION_S = 1.6
 """How long replicas whose records went together are kept, in seconds; less than
 the two seconds in which a replica that has gone may still be sent work."""
 
@@ -75,7 +75,7 @@
         self._given = given
         self._stopping = False
         self._rng = random.Random()
-        self._equipment = runtime.make_equipment(
+        self._equipment = runtime.make_vm_runtime(
             "node", given.vm, given.zone, tuned.log_events, tuned.ring_events
         )
         self._store = store.Store(given.store)
@@ -97,7 +97,7 @@
             given.first_start,
             self._store,
             self._equipment.client,
-            HOLD_S,
+            MISSING_REPLICA_RETENTION_S,
             given.zones,
             given.limit_terms,
             given.rollout_terms,
@@ -166,7 +166,7 @@
                 self._prober.run,
                 self._block_sync.run,
                 self._verdict_keeper.run,
-                suspension.SuspensionWatch(self._return_from_suspension).run,
+                suspension.SuspensionDetector(self._return_from_suspension).run,
                 self._watch_reload,
             ):
                 tasks.start_soon(task)
@@ -377,7 +377,7 @@
     await Node(tuned, given).run(stop)
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-node",
     node_settings.NodeSettings,
     main,
--- a/ramptray/node/suspension.py
+++ b/ramptray/node/suspension.py
@@ -19,7 +19,7 @@
 VM has them."""
 
 
-class SuspensionWatch:
+class SuspensionDetector:
     """Compares the clock that counts suspension with the one that does not.
 
     Ages are measured by the former, so beliefs are as old as they are; this
@@ -28,27 +28,27 @@
     Args:
         on_return: Called with how long the VM was away, in seconds.
         read: Reads the clock that counts suspension.
-        read_running: Reads the one that does not.
+        read_monotonic: Reads the one that does not.
     """
 
     def __init__(
         self,
         on_return: Callable[[float], None],
         read: Callable[[], float] = steadyclock.read,
-        read_running: Callable[[], float] = steadyclock.read_running,
+        read_monotonic: Callable[[], float] = steadyclock.read_monotonic,
     ) -> None:
         self._on_return = on_return
         self._read = read
-        self._read_running = read_running
+        self._read_monotonic = read_monotonic
         self._away_before = self._measure()
 
     async def run(self) -> None:
         """Looks until cancelled."""
         while True:
             await anyio.sleep(LOOK_S)
-            self.look()
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Tells if the VM was away since the last look."""
         away = self._measure()
         away_s = away - self._away_before
@@ -60,4 +60,4 @@
 
     def _measure(self) -> float:
         """Returns for how long the VM has been suspended in all, in seconds."""
-        return self._read() - self._read_running()
+        return self._read() - self._read_monotonic()
--- a/ramptray/process.py
+++ b/ramptray/process.py
@@ -25,7 +25,7 @@
 LOG = logging.getLogger(__name__)
 
 EXIT_OK = 0
-EXIT_MISTAKE = 2
+EXIT_INVALID_INPUT = 2
 """Settings, bundle or arguments have a mistake."""
 
 EXIT_FAILED = 1
@@ -44,7 +44,7 @@
     event: anyio.Event
 
     @property
-    def asked(self) -> bool:
+    def is_requested(self) -> bool:
         """Whether the stop was asked for."""
         return self.event.is_set()
 
@@ -52,7 +52,7 @@
 Main = Callable[[Any, Stop], Awaitable[None]]
 
 
-def make_program(
+def make_command(
     name: str, kind: type[SettingsT], main: Main, about: str
 ) -> click.Command:
     """Returns the command of a long-running program.
@@ -78,8 +78,8 @@
             settings = parsing.read_model(settings_file, kind)
         except parsing.InvalidFileError as error:
             click.echo(str(error), err=True)
-            sys.exit(EXIT_MISTAKE)
-        set_up_logs(name, getattr(settings, "log_level", "INFO"))
+            sys.exit(EXIT_INVALID_INPUT)
+        configure_logging(name, getattr(settings, "log_level", "INFO"))
         try:
             anyio.run(_run, main, settings)
         except* (OSError, ProcessError) as group:
@@ -111,7 +111,7 @@
     ]
 
 
-def set_up_logs(program: str, level: str) -> None:
+def configure_logging(program: str, level: str) -> None:
     """Sends all logs to standard output as JSON lines."""
     handler = logsink.BoundedHandler(sys.stdout.fileno())
     formatter = json_logger.MsgspecFormatter(
@@ -127,7 +127,7 @@
         logging.getLogger(noisy).setLevel(logging.WARNING)
 
 
-def name_logs(process: str) -> None:
+def set_log_process(process: str) -> None:
     """Has each further log line say which process wrote it."""
     for handler in logging.getLogger().handlers:
         if isinstance(handler.formatter, json_logger.MsgspecFormatter):
@@ -136,14 +136,14 @@
 
 async def _run(main: Main, settings: Any) -> None:
     stop = Stop(anyio.Event())
-    logsink.gather(asyncio.get_running_loop().call_soon)
+    logsink.set_batch_schedule(asyncio.get_running_loop().call_soon)
     try:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_watch_signals, stop)
             await main(settings, stop)
             tasks.cancel_scope.cancel()
     finally:
-        logsink.gather(None)
+        logsink.set_batch_schedule(None)
 
 
 async def _watch_signals(stop: Stop) -> None:
--- a/ramptray/runtime.py
+++ b/ramptray/runtime.py
@@ -36,7 +36,7 @@
         program: Which program it is, in one word.
         settings: Its settings.
     """
-    return make_equipment(
+    return make_vm_runtime(
         program,
         settings.vm,
         settings.zone,
@@ -47,7 +47,7 @@
     )
 
 
-def make_equipment(
+def make_vm_runtime(
     program: str,
     vm: str,
     zone: str,
@@ -68,7 +68,7 @@
         cut_file: See ``settings.ProcessSettings``.
     """
     name = f"{program}/{vm}"
-    process.name_logs(name)
+    process.set_log_process(name)
     hybrid_clock = clock.HybridClock(wallclock.read)
     events = timeline.Timeline(
         name, zone, hybrid_clock, log_events, ring_events
--- a/ramptray/scheduler/main.py
+++ b/ramptray/scheduler/main.py
@@ -115,7 +115,7 @@
     gossiper.membership.set_generation(in_force.generation, steadyclock.read())
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-scheduler",
     SchedulerSettings,
     main,
--- a/ramptray/service/client.py
+++ b/ramptray/service/client.py
@@ -67,7 +67,7 @@
             "pool": CONNECT_S,
             "read": READ_S,
         }
-        with httperror.turn_errors(url, NotSentError, BrokenError):
+        with httperror.translate_errors(url, NotSentError, BrokenError):
             response = await self._pool.request(
                 call.method,
                 url.rstrip("/") + call.target,
--- a/ramptray/standin/engine/main.py
+++ b/ramptray/standin/engine/main.py
@@ -456,7 +456,7 @@
         await anyio.sleep(engine.crash_s)
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-fake-engine",
     FakeEngineSettings,
     main,
--- a/ramptray/standin/platform/main.py
+++ b/ramptray/standin/platform/main.py
@@ -240,7 +240,7 @@
         tasks.cancel_scope.cancel()
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-fake-platform",
     FakePlatformSettings,
     main,
--- a/ramptray/standin/replica/main.py
+++ b/ramptray/standin/replica/main.py
@@ -183,7 +183,7 @@
             ]
             self._ledger.refused.append(request_id)
             await _send(stream, 503, b"", [*own, (header.NOT_EXECUTED, b"1")])
-            now = steadyclock.read_running()
+            now = steadyclock.read_monotonic()
             LOG.info(
                 "refused",
                 extra={
@@ -226,7 +226,7 @@
         return True
 
     def _note_arrival(self, request_id: str) -> None:
-        now = steadyclock.read_running()
+        now = steadyclock.read_monotonic()
         self._ledger.arrived.append(now)
         LOG.info("arrived", extra={"request_id": request_id, "at": now})
 
@@ -318,7 +318,7 @@
         tasks.cancel_scope.cancel()
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-fake-replica",
     FakeReplicaSettings,
     main,
--- a/ramptray/standin/service/main.py
+++ b/ramptray/standin/service/main.py
@@ -139,7 +139,7 @@
         tasks.cancel_scope.cancel()
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-fake-service",
     FakeServiceSettings,
     main,
--- a/ramptray/standin/store/main.py
+++ b/ramptray/standin/store/main.py
@@ -224,7 +224,7 @@
         tasks.cancel_scope.cancel()
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-fake-store",
     FakeStoreSettings,
     main,
--- a/ramptray/steadyclock.py
+++ b/ramptray/steadyclock.py
@@ -18,6 +18,6 @@
     return time.clock_gettime(_COUNTS_SUSPENSION)
 
 
-def read_running() -> float:
+def read_monotonic() -> float:
     """Returns the same without the time for which the machine was suspended."""
     return time.clock_gettime(time.CLOCK_MONOTONIC)
--- a/ramptray/timeline.py
+++ b/ramptray/timeline.py
@@ -70,7 +70,7 @@
             lambda event: event[0] > after, reversed(self._ring)
         )
         described = [self._describe(event) for event in newest_first]
-        return [e for e in reversed(described) if concerns(subject, e)]
+        return [e for e in reversed(described) if matches_subject(subject, e)]
 
     def _describe(
         self, event: tuple[int, str, str, dict[str, Any]]
@@ -86,6 +86,6 @@
         }
 
 
-def concerns(subject: str, event: dict[str, Any]) -> bool:
+def matches_subject(subject: str, event: dict[str, Any]) -> bool:
     """Returns whether an event is about a subject; all are about none."""
     return not subject or subject in event.values()
--- a/test/test_dispatcher.py
+++ b/test/test_dispatcher.py
@@ -50,7 +50,7 @@
         """Submits a request and handles its events."""
         ticket = self.submit(info, None)
         assert ticket is not None
-        for event in self._mailbox.take_waiting():
+        for event in self._mailbox.drain():
             self._handle(event, 1.0)
 
     def get_enqueued(self) -> list[tuple[str, str]]:
@@ -250,7 +250,7 @@
     )
     ticket = recorder.submit(info, None)
     now = ticket.started_at
-    for event in recorder._mailbox.take_waiting():
+    for event in recorder._mailbox.drain():
         recorder._handle(event, now)
     recorder.receive(
         attachment.MessageReceived(OURS, message.Grant("r2", "g", "e", OURS)),
--- a/test/test_distributor.py
+++ b/test/test_distributor.py
@@ -266,7 +266,10 @@
 async def test_the_last_vm_to_be_updated_drops_a_replica_in_time() -> None:
     # VMs kept a replica without a record for 1.6 s, and read the log themselves
     # after 0.8 s, so a request reached it 2.156 s after its record was removed.
-    assert distributor.MAX_LAG_S + main.HOLD_S <= TAKEOVER_LIMIT_S
+    assert (
+        distributor.MAX_LAG_S + main.MISSING_REPLICA_RETENTION_S
+        <= TAKEOVER_LIMIT_S
+    )
 
 
 async def test_a_wake_up_during_the_minimum_interval_is_not_lost() -> None:
--- a/test/test_logsink.py
+++ b/test/test_logsink.py
@@ -29,9 +29,9 @@
         handler.emit(make_record())
     handler.emit(make_record(logging.ERROR))
     lines = read(reader).splitlines()
-    assert handler.left_out == 40
+    assert handler.dropped_lines == 40
     assert lines.count(b"line") == 11
-    time.sleep(logsink.REPORT_S)
+    time.sleep(logsink.REPORT_INTERVAL_S)
     handler.emit(make_record())
     assert b"log lines left out" in read(reader)
 
@@ -44,7 +44,7 @@
     for _ in range(100_000):
         handler.emit(make_record())
     assert steadyclock.read() - began < 10
-    assert handler.left_out > 0
+    assert handler.dropped_lines > 0
     read(reader)
     handler.flush()
     assert read(reader)
--- a/test/test_suspension.py
+++ b/test/test_suspension.py
@@ -60,14 +60,14 @@
     running, away = 100.0, 0.0
     told: list[float] = []
 
-    watch = suspension.SuspensionWatch(
+    watch = suspension.SuspensionDetector(
         told.append, lambda: running + away, lambda: running
     )
     running += 50.0
-    watch.look()
+    watch.check()
     assert told == []
     running, away = running + 0.1, away + AWAY_S
-    watch.look()
+    watch.check()
     assert told == [pytest.approx(AWAY_S)]
-    watch.look()
+    watch.check()
     assert len(told) == 1
