--- a/ramptray/entry/backend_directory.py
+++ b/ramptray/entry/backend_directory.py
@@ -38,21 +38,26 @@
 
     def apply_bundle(self, in_force: acceptance.InForce) -> None:
         """Replaces the bundle in force."""
-        former = self.in_force
+        previous = self.in_force
         self.in_force = in_force
-        if former:
-            self._handle_restarts(former.bundle, in_force.bundle)
+        if previous:
+            self._handle_restarts(previous.bundle, in_force.bundle)
         self._first_in_force.set()
         self._zones = {
             name: server.availability_zone or server.zone
             for name, server in in_force.bundle.backend_servers.items()
         }
 
-    def _handle_restarts(self, former: model.Bundle, new: model.Bundle) -> None:
+    def _handle_restarts(
+        self, previous: model.Bundle, new: model.Bundle
+    ) -> None:
         """Removes the reachability state of restarted backend servers."""
         for name, server in new.backend_servers.items():
-            before = former.backend_servers.get(name)
-            if before is not None and before.run != server.run:
+            previous_server = previous.backend_servers.get(name)
+            if (
+                previous_server is not None
+                and previous_server.run != server.run
+            ):
                 self._reachability.remove(name)
                 self.on_backend_restart(name, server.run)
 
--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -199,7 +199,7 @@
             case tickets.FirstTokenReceived(first):
                 self.backends.record_answer(machine.backend, now)
                 if machine.owner:
-                    self._send(machine.owner, self._lag.exclude(first))
+                    self._send(machine.owner, self._lag.exclude_lag(first))
                 self.timeline.note(
                     "first_token",
                     first.request_id,
@@ -475,9 +475,9 @@
         self._apply_effects(ticket, effects, now)
 
     def _apply_view(self, view: peer_message.View, now: float) -> None:
-        known = self._owners.apply_view(view)
+        addresses = self._owners.apply_view(view)
         self.backends.apply_view(view)
-        for address in set(self._links) - known - {self._local_scheduler}:
+        for address in set(self._links) - addresses - {self._local_scheduler}:
             self._links.pop(address).stop()
             self._owners.remove(address)
         self._open_owner_links(now)
@@ -573,7 +573,7 @@
 
     def _back_off_silent_owners(self, now: float) -> None:
         """Reassigns the waiting requests of owners that do not reply."""
-        silent = {
+        silent_owners = {
             ticket.machine.owner
             for ticket in self._tickets.values()
             if ticket.machine.state is request.State.WAITING
@@ -584,7 +584,7 @@
         }
         backed_off = [
             owner
-            for owner in silent
+            for owner in silent_owners
             if owner is not None and self._owners.back_off(owner, now)
         ]
         for owner in backed_off:
--- a/ramptray/entry/lag.py
+++ b/ramptray/entry/lag.py
@@ -50,7 +50,7 @@
         self._late_ticks = self._late_ticks + 1 if is_late else 0
         return 0 < self._late_ticks <= MAX_LATE_TICKS
 
-    def exclude(self, first: message.FirstToken) -> message.FirstToken:
+    def exclude_lag(self, first: message.FirstToken) -> message.FirstToken:
         """Returns a first token's time without the lag of this process.
 
         Load pattern: VMs short of CPU time read responses late.  If that delay
--- a/ramptray/entry/owners.py
+++ b/ramptray/entry/owners.py
@@ -106,8 +106,8 @@
 
     def get_reply_timeout_s(self, address: str) -> float:
         """Returns a scheduler's reply timeout in seconds."""
-        known = self._reply_times.get(address)
-        return known.timeout_s if known else MIN_REPLY_TIMEOUT_S
+        estimator = self._reply_times.get(address)
+        return estimator.timeout_s if estimator else MIN_REPLY_TIMEOUT_S
 
     def get_silence_s(self, address: str, since: float, now: float) -> float:
         """Returns for how long a scheduler has been silent, in seconds.
@@ -127,10 +127,10 @@
         """
         if address == self._local or self._is_backed_off(address, now):
             return False
-        former = self._backoffs.get(address)
+        previous = self._backoffs.get(address)
         length_s = (
-            min(former.length_s * 2, MAX_BACKOFF_S)
-            if former
+            min(previous.length_s * 2, MAX_BACKOFF_S)
+            if previous
             else FIRST_BACKOFF_S
         )
         self._backoffs[address] = _Backoff(now + length_s, length_s)
--- a/ramptray/entry/reachability.py
+++ b/ramptray/entry/reachability.py
@@ -90,7 +90,10 @@
         return frozenset(self._unreachable_zones)
 
     def list_suspect_zones(self) -> frozenset[str]:
-        """Returns the zones that are unreachable or whose VMs are lost."""
+        """Returns the zones that are unreachable or whose VMs are lost.
+
+        A zone is listed until one of its backend servers answers.
+        """
         return frozenset(self._unreachable_zones | self._lost_zones)
 
     def list_unreachable(
@@ -116,9 +119,9 @@
         )
 
 
-def _make_next_backoff(former: _Backoff | None, now: float) -> _Backoff:
-    """Returns the next backoff, twice as long if the former ended recently."""
+def _make_next_backoff(previous: _Backoff | None, now: float) -> _Backoff:
+    """Returns the next backoff; it doubles if the last one ended recently."""
     length_s = FIRST_BACKOFF_S
-    if former is not None and now - former.until < MAX_BACKOFF_S:
-        length_s = min(former.length_s * 2, MAX_BACKOFF_S)
+    if previous is not None and now - previous.until < MAX_BACKOFF_S:
+        length_s = min(previous.length_s * 2, MAX_BACKOFF_S)
     return _Backoff(now + length_s, length_s)
--- a/ramptray/entry/ticket.py
+++ b/ramptray/entry/ticket.py
@@ -116,7 +116,7 @@
 
 
 class AnswerLost(msgspec.Struct, frozen=True):
-    """The response is lost: neither a retry nor a resume can return it."""
+    """The response is lost and cannot be recovered."""
 
     ended: message.Ended
     reason: message.Reason
