--- a/ramptray/node/__init__.py
+++ b/ramptray/node/__init__.py
@@ -1,1 +1,1 @@
-"""One program on each entry VM: callers' relay and scheduler together."""
+"""The program of an entry VM: HTTP relay and scheduler in one process."""
--- a/ramptray/node/listener.py
+++ b/ramptray/node/listener.py
@@ -1,6 +1,6 @@
-"""Sockets that callers connect to, opened before the program is loaded.
+"""Listening sockets that can be opened before the program is loaded.
 
-This module must import nothing but the standard library.
+This module may import only the standard library.
 """
 
 from __future__ import annotations
@@ -8,33 +8,33 @@
 import socket
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted."""
+"""Maximum number of connections that wait to be accepted."""
 
-_OPENED: dict[str, socket.socket] = {}
-"""Sockets that were opened early, by their addresses."""
+_EARLY_SOCKETS: dict[str, socket.socket] = {}
+"""Sockets opened by ``open_early``, by address."""
 
 
-def open_early(where: str) -> None:
+def open_early(address: str) -> None:
     """Opens a listening socket that ``open_socket`` will return.
 
     Raises:
-        OSError: The address cannot be had.
+        OSError: The address cannot be bound.
     """
-    _OPENED[where] = open_socket(where)
+    _EARLY_SOCKETS[address] = open_socket(address)
 
 
-def open_socket(where: str) -> socket.socket:
-    """Returns a listening socket, the one opened early if there is one.
+def open_socket(address: str) -> socket.socket:
+    """Returns the socket that ``open_early`` opened, or a new listening one.
 
     Raises:
-        OSError: The address cannot be had.
+        OSError: The address cannot be bound.
     """
-    if where in _OPENED:
-        return _OPENED.pop(where)
-    host, _, port = where.rpartition(":")
-    opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    opened.bind((host, int(port)))
-    opened.listen(BACKLOG)
-    opened.setblocking(False)
-    return opened
+    if address in _EARLY_SOCKETS:
+        return _EARLY_SOCKETS.pop(address)
+    host, _, port = address.rpartition(":")
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listener.bind((host, int(port)))
+    listener.listen(BACKLOG)
+    listener.setblocking(False)
+    return listener
--- a/ramptray/node/main.py
+++ b/ramptray/node/main.py
@@ -1,4 +1,4 @@
-"""``ramptray-node``: callers' relay and scheduler of one VM, in one process."""
+"""``ramptray-node``: HTTP relay and scheduler of one VM, in one process."""
 
 from __future__ import annotations
 
@@ -43,139 +43,138 @@
 LOG = logging.getLogger(__name__)
 
 MISSING_REPLICA_RETENTION_S = 1.6
-"""How long replicas whose records went together are kept, in seconds; less than
-the two seconds in which a replica that has gone may still be sent work."""
+"""How long replicas whose records disappeared together are kept, in seconds.
+Requests may be sent to a replica for at most two seconds after it is gone, so
+this must be shorter."""
 
-
-REACHED_PART = 0.5
-"""A VM that reaches less than this part of the backend servers' places sends
-new callers elsewhere: at most one side of a cut has less than half."""
+MIN_REACHABLE_SHARE = 0.5
+"""A VM that reaches less than this share of the backend servers' slots sends
+new callers elsewhere. When the network is split in two, at most one side
+reaches less than half."""
 
 METRICS_PATH = "/metrics"
 
-ACCEPT_PAUSE_S = 0.01
-"""Pause after a connection that could not be taken, in seconds, so that a lack
-of descriptors does not become a busy loop."""
+ACCEPT_RETRY_DELAY_S = 0.01
+"""Delay after a failed accept, in seconds. Without it, the accept loop would
+spin when the process runs out of file descriptors."""
 
 
 class Node:
-    """The tasks of one VM and what they share.
+    """Creates the components of one VM and runs their tasks.
 
     Args:
-        tuned: The product's settings.
-        given: The settings of this VM.
+        settings: Settings that are the same on all VMs.
+        vm: Settings that the platform gives this VM.
     """
 
     def __init__(
         self,
-        tuned: node_settings.NodeSettings,
-        given: vm_settings.VmSettings,
+        settings: node_settings.NodeSettings,
+        vm: vm_settings.VmSettings,
     ) -> None:
-        self._tuned = tuned
-        self._given = given
+        self._settings = settings
+        self._vm = vm
         self._stopping = False
         self._rng = random.Random()
-        self._equipment = runtime.make_vm_runtime(
-            "node", given.vm, given.zone, tuned.log_events, tuned.ring_events
+        self._runtime = runtime.make_vm_runtime(
+            "node", vm.vm, vm.zone, settings.log_events, settings.ring_events
         )
-        self._store = store.Store(given.store)
-        self._measures = metrics.Metrics()
+        self._store = store.Store(vm.store)
+        self._metrics = metrics.Metrics()
         self._dialect = header.PlatformDialect()
         self._relay_client = relay_client.RelayClient(self._dialect)
-        self._me = membership.Member(
-            given.vm,
+        self._member = membership.Member(
+            vm.vm,
             config.DOMAIN,
-            given.peers,
+            vm.peers,
             int(time.time()),
-            availability_zone=given.zone,
-            cores=given.cores,
-            link_mbps=given.link_mbps,
+            availability_zone=vm.zone,
+            cores=vm.cores,
+            link_mbps=vm.link_mbps,
         )
         self._follower = follower.Follower(
-            self._me,
-            given.seeds,
-            given.first_start,
+            self._member,
+            vm.seeds,
+            vm.first_start,
             self._store,
-            self._equipment.client,
+            self._runtime.client,
             MISSING_REPLICA_RETENTION_S,
-            given.zones,
-            given.limit_terms,
-            given.rollout_terms,
-            self._take_bundle,
+            vm.zones,
+            vm.limit_terms,
+            vm.rollout_terms,
+            self._apply_bundle,
         )
         self._blocks = blocklist.Blocklist()
         self._block_sync = block_sync.BlockSync(
             platform_blocks.TopicBlockLog(self._store),
             self._blocks,
-            load_at_start=not given.first_start,
+            load_at_start=not vm.first_start,
         )
         self._store.add_rollback_listener(self._block_sync.save_all)
         self._gossiper = self._make_gossiper()
         self._follower.pick_peer = self._gossiper.pick_peer
         self._hub = hub.Hub(
-            given.peers,
+            vm.peers,
             config.DOMAIN,
-            hub.Options(tuned.policy, 0.0, True, False),
+            hub.Options(settings.policy, 0.0, True, False),
             self._gossiper,
             None,
-            self._equipment.timeline,
+            self._runtime.timeline,
             self._blocks,
         )
         self._hub.content_blocker.on_crash = self._block_sync.request_reload
-        self._verdict_keeper = rollouts.VerdictWriter(
+        self._verdict_writer = rollouts.VerdictWriter(
             platform_rollout.TopicVerdictLog(self._store),
             self._hub.rollouts.verdicts,
         )
-        self._hub.rollouts.on_verdict = self._verdict_keeper.enqueue
+        self._hub.rollouts.on_verdict = self._verdict_writer.enqueue
         self._gossiper.verdicts = self._hub.rollouts.verdicts
         self._handler = handler.SchedulerHandler(
-            self._hub, self._gossiper, self._follower, self._equipment.timeline
+            self._hub, self._gossiper, self._follower, self._runtime.timeline
         )
-        self._equipment.client.serve_locally(given.peers, self._handler)
-        self._desk = dispatcher.Dispatcher(
-            node_settings.Home(given.vm, config.DOMAIN, given.peers),
-            self._equipment,
+        self._runtime.client.serve_locally(vm.peers, self._handler)
+        self._dispatcher = dispatcher.Dispatcher(
+            node_settings.DispatcherSettings(vm.vm, config.DOMAIN, vm.peers),
+            self._runtime,
             self._make_budget(),
             shares_limits=True,
             blocks=self._blocks,
-            longest_pause_s=tuned.longest_pause_s,
+            longest_pause_s=settings.longest_pause_s,
         )
         self._prober = prober.Prober(
-            self._desk.backends, self._relay_client.probe
+            self._dispatcher.backends, self._relay_client.probe
         )
         self._relay = relay_server.RelayServer(
             self._dialect, self._make_service().serve
         )
 
     async def run(self, stop: process.Stop) -> None:
-        """Serves until a stop is asked for and what runs has ended."""
-        peers = peer_server.PeerServer(
-            self._handler, self._equipment.clock, None
-        )
+        """Serves until a stop is requested and running requests have ended."""
+        peers = peer_server.PeerServer(self._handler, self._runtime.clock, None)
         try:
-            await peers.start(self._given.peers)
+            await peers.start(self._vm.peers)
         except peer_link.LinkError as error:
             raise process.ProcessError(str(error)) from error
         async with anyio.create_task_group() as tasks:
             for task in (
                 self._hub.run,
-                self._desk.run,
+                self._dispatcher.run,
                 self._gossiper.run,
                 self._follower.run,
                 self._relay_client.run,
                 self._prober.run,
                 self._block_sync.run,
-                self._verdict_keeper.run,
-                suspension.SuspensionDetector(self._return_from_suspension).run,
+                self._verdict_writer.run,
+                suspension.SuspensionDetector(self._handle_suspension).run,
                 self._watch_reload,
             ):
                 tasks.start_soon(task)
 
-            def check(address: str) -> None:
+            def probe_member(address: str) -> None:
                 tasks.start_soon(self._gossiper.probe_now, address)
 
-            self._desk.on_silent_owner = check
-            self._desk.backends.on_unreachable_zone = (
+            self._dispatcher.on_silent_owner = probe_member
+            self._dispatcher.backends.on_unreachable_zone = (
                 self._relay_client.expire_idle
             )
 
@@ -184,10 +183,10 @@
                     self._relay_client.close_former_runs, backend, run
                 )
 
-            self._desk.backends.on_backend_restart = close_former_runs
+            self._dispatcher.backends.on_backend_restart = close_former_runs
             await self._serve(tasks, stop)
             await peers.stop()
-            await self._equipment.client.close()
+            await self._runtime.client.close()
             tasks.cancel_scope.cancel()
 
     async def _serve(
@@ -195,72 +194,75 @@
     ) -> None:
         probes = probe.ProbeServer(
             {
-                vm_settings.READY_PATH: self._show_ready,
-                METRICS_PATH: self._show_metrics,
+                vm_settings.READY_PATH: self._make_ready_page,
+                METRICS_PATH: self._make_metrics_page,
             }
         )
-        metrics_address = f"{self._given.ip}:{self._tuned.metrics_port}"
+        metrics_address = f"{self._vm.ip}:{self._settings.metrics_port}"
         for address, handle in (
-            (self._given.callers, self._relay.handle),
-            (self._given.readiness, probes.handle),
+            (self._vm.callers, self._relay.handle),
+            (self._vm.readiness, probes.handle),
             (metrics_address, probes.handle),
         ):
-            opened = listener.open_socket(address)
-            tasks.start_soon(_accept, opened, handle)
+            listening_socket = listener.open_socket(address)
+            tasks.start_soon(_accept_in_group, listening_socket, handle)
         LOG.info(
             "started",
-            extra={"address": self._given.callers, "peers": self._given.peers},
+            extra={"address": self._vm.callers, "peers": self._vm.peers},
         )
         await stop.event.wait()
-        await self._leave()
+        await self._shut_down()
 
-    async def _leave(self) -> None:
-        """Ends in order: nothing that was taken in is cut."""
-        began = steadyclock.read()
-        ends_at = began + self._given.grace_s - self._tuned.exit_margin_s
+    async def _shut_down(self) -> None:
+        """Shuts down gracefully: waits for the requests that were accepted."""
+        started_at = steadyclock.read()
+        deadline = started_at + self._vm.grace_s - self._settings.exit_margin_s
         self._stopping = True
         self._relay.state.stopping = True
         LOG.info("stopping", extra={"active": self._relay.state.active})
-        with anyio.move_on_after(self._tuned.lame_duck_s):
+        with anyio.move_on_after(self._settings.lame_duck_s):
             await self._gossiper.leave()
-            await anyio.sleep(self._tuned.lame_duck_s)
+            await anyio.sleep(self._settings.lame_duck_s)
         self._relay.refuse_new_requests()
-        while self._relay.state.active and steadyclock.read() < ends_at:
+        while self._relay.state.active and steadyclock.read() < deadline:
             await anyio.sleep(0.05)
         LOG.info("stopped", extra={"active": self._relay.state.active})
 
-    def _show_ready(self) -> probe.Page:
-        if self._desk.in_force is None:
+    def _make_ready_page(self) -> probe.Page:
+        if self._dispatcher.in_force is None:
             return probe.Page(probe.UNAVAILABLE, "no configuration yet\n")
         if self._stopping:
             return probe.Page(probe.UNAVAILABLE, "stopping\n")
-        if self._note_cut():
+        if self._update_diverting():
             return probe.Page(probe.UNAVAILABLE, "cut off from most\n")
         return probe.Page(probe.OK, "ready\n")
 
-    def _note_cut(self) -> bool:
-        """Returns whether most of the deployment is beyond reach from here.
+    def _update_diverting(self) -> bool:
+        """Updates whether new callers are sent to other VMs, and returns it.
 
-        Then callers are better served by VMs of other zones, which have more
-        engines: new ones are sent there, and connected ones are asked to close.
-        Those that come all the same are served.  Losing VMs alone says
-        nothing: they may be down while all engines are at hand.
+        VMs of other zones can then use more engines, so new callers are sent
+        there and connected callers are asked to close their connections.
+        Requests that arrive anyway are served.  Unreachable VMs alone are not
+        enough: they may be down while all engines are still reachable.
         """
         minority = self._gossiper.membership.is_minority()
-        part = self._desk.backends.reachable_share
-        cut = minority and part < REACHED_PART
+        reachable_share = self._dispatcher.backends.reachable_share
+        cut = minority and reachable_share < MIN_REACHABLE_SHARE
         if cut != self._relay.state.diverting:
             self._relay.state.diverting = cut
             LOG.warning(
-                "callers sent elsewhere" if cut else "callers taken again",
-                extra={"minority": minority, "reachable_part": round(part, 2)},
+                "callers sent elsewhere" if cut else "callers accepted again",
+                extra={
+                    "minority": minority,
+                    "reachable_part": round(reachable_share, 2),
+                },
             )
         return cut
 
-    def _show_metrics(self) -> probe.Page:
+    def _make_metrics_page(self) -> probe.Page:
         now = steadyclock.read()
         blocked = self._blocks.count_in_force(now)
-        hints = self._desk.server_hints
+        hints = self._dispatcher.server_hints
         gauges = [
             *self._follower.list_gauges(now),
             metrics.Gauge("blocked_contents", {}, blocked),
@@ -272,12 +274,12 @@
                 for name, count in self._dialect.invalid.items()
             ),
         ]
-        text = self._measures.format() + metrics.format_gauges(gauges)
+        text = self._metrics.format() + metrics.format_gauges(gauges)
         return probe.Page(probe.OK, text)
 
-    def _take_bundle(self, in_force: acceptance.InForce) -> None:
-        self._desk.backends.apply_bundle(in_force)
-        self._desk.server_hints.discard_except(
+    def _apply_bundle(self, in_force: acceptance.InForce) -> None:
+        self._dispatcher.backends.apply_bundle(in_force)
+        self._dispatcher.server_hints.discard_except(
             in_force.bundle.backend_servers, steadyclock.read()
         )
         self._relay.state.limits = in_force.bundle.relay
@@ -286,10 +288,11 @@
             in_force.generation, steadyclock.read()
         )
 
-    def _return_from_suspension(self, away_s: float) -> None:
-        """Has everything looked at anew that may have gone meanwhile.
+    def _handle_suspension(self, away_s: float) -> None:
+        """Drops idle connections and wakes the follower.
 
-        Connections were likely given up at their other ends.
+        The other ends have probably closed the connections, and other state
+        may be out of date.
         """
         self._relay_client.expire_all_idle()
         self._follower.wake()
@@ -300,20 +303,20 @@
                 self._reload()
 
     def _reload(self) -> None:
-        """Takes new seeds; all else of the file holds for a process's life."""
+        """Adds the file's seeds; other settings need a restart."""
         try:
-            given = vm_settings.read_settings(vm_settings.get_path())
+            vm = vm_settings.read_settings(vm_settings.get_path())
         except vm_settings.SettingsError as error:
             LOG.error("settings not reloaded", extra={"detail": str(error)})
             return
-        self._gossiper.add_seeds(list(given.seeds))
-        LOG.info("settings reloaded", extra={"seeds": given.seeds})
+        self._gossiper.add_seeds(list(vm.seeds))
+        LOG.info("settings reloaded", extra={"seeds": vm.seeds})
 
     def _make_gossiper(self) -> gossip.Gossiper:
         return gossip.Gossiper(
-            self._me,
-            list(self._given.seeds),
-            self._equipment.client,
+            self._member,
+            list(self._vm.seeds),
+            self._runtime.client,
             self._rng,
             lambda view: self._hub.post(event.ViewChanged(view)),
             lambda lowest: None,
@@ -323,58 +326,62 @@
         )
 
     def _make_budget(self) -> retry.RetryBudget:
-        part = self._tuned.retry_part
+        share = self._settings.retry_part
         return retry.RetryBudget(
             retry.BudgetRules(
-                self._given.retry_ratio * part,
-                self._given.retry_slack * part / self._tuned.budget_vms,
-                self._given.retry_window_s,
+                self._vm.retry_ratio * share,
+                self._vm.retry_slack * share / self._settings.budget_vms,
+                self._vm.retry_window_s,
             )
         )
 
     def _make_service(self) -> service.RelayService:
         return service.RelayService(
             config.DOMAIN,
-            self._desk,
+            self._dispatcher,
             self._relay_client,
-            self._measures,
-            self._equipment.timeline,
-            self._tuned.content_key.encode(),
+            self._metrics,
+            self._runtime.timeline,
+            self._settings.content_key.encode(),
         )
 
 
-async def _accept(
-    opened: socket.socket,
+async def _accept_in_group(
+    listening_socket: socket.socket,
     handle: Callable[[streams.SocketStream], Coroutine[Any, Any, None]],
 ) -> None:
-    """Takes connections; one that fails at once costs no other."""
-    with contextlib.closing(opened):
+    """Accepts connections; a failed accept does not affect the others."""
+    with contextlib.closing(listening_socket):
         async with anyio.create_task_group() as tasks:
-            await _accept_all(opened, handle, tasks)
+            await _accept_all(listening_socket, handle, tasks)
 
 
 async def _accept_all(
-    opened: socket.socket,
+    listening_socket: socket.socket,
     handle: Callable[[streams.SocketStream], Coroutine[Any, Any, None]],
     tasks: anyio.abc.TaskGroup,
 ) -> None:
     while True:
         try:
-            stream = await streams.accept(opened)
+            stream = await streams.accept(listening_socket)
         except OSError as error:
-            LOG.warning("connection not taken", extra={"detail": repr(error)})
-            await anyio.sleep(ACCEPT_PAUSE_S)
+            LOG.warning(
+                "accepting a connection failed", extra={"detail": repr(error)}
+            )
+            await anyio.sleep(ACCEPT_RETRY_DELAY_S)
             continue
         tasks.start_soon(handle, stream)
 
 
-async def main(tuned: node_settings.NodeSettings, stop: process.Stop) -> None:
-    """Serves until a stop is asked for and what runs has ended."""
+async def main(
+    settings: node_settings.NodeSettings, stop: process.Stop
+) -> None:
+    """Serves until a stop is requested and running requests have ended."""
     try:
-        given = vm_settings.read_settings(vm_settings.get_path())
+        vm = vm_settings.read_settings(vm_settings.get_path())
     except vm_settings.SettingsError as error:
         raise process.ProcessError(str(error)) from error
-    await Node(tuned, given).run(stop)
+    await Node(settings, vm).run(stop)
 
 
 run = process.make_command(
--- a/ramptray/node/probe.py
+++ b/ramptray/node/probe.py
@@ -1,7 +1,7 @@
-"""Answers the balancer's questions and serves the metrics, over plain HTTP.
+"""HTTP server for the load balancer's readiness probe and the metrics.
 
-A web framework would double the time in which a killed process is back, so the
-two paths are served on the HTTP parser alone.
+It uses only an HTTP parser: loading a web framework would double the time that
+a killed process needs to restart.
 """
 
 from __future__ import annotations
@@ -14,8 +14,9 @@
 
 from ramptray.relay import socket_stream as streams
 
-IDLE_S = 30.0
-"""How long a probe's connection may be idle, in seconds."""
+CONNECTION_TIMEOUT_S = 30.0
+"""Longest time that a connection may last or a response may take to be sent, in
+seconds."""
 
 OK = 200
 NOT_FOUND = 404
@@ -23,11 +24,11 @@
 
 
 class Page(msgspec.Struct, frozen=True):
-    """What is answered on one path.
+    """The response for one path.
 
     Attributes:
-        status: HTTP status.
-        text: The body.
+        status: HTTP status code.
+        text: Response body.
     """
 
     status: int
@@ -35,21 +36,21 @@
 
 
 class ProbeServer:
-    """Serves a few pages by their paths.
+    """Serves a fixed set of pages.
 
     Args:
-        pages: Makes the page of each path.
+        pages: For each path, the function that makes its page.
     """
 
     def __init__(self, pages: dict[str, Callable[[], Page]]) -> None:
         self._pages = pages
 
     async def handle(self, stream: streams.SocketStream) -> None:
-        """Serves one connection until it ends."""
+        """Serves a connection until it is closed or times out."""
         http = h11.Connection(h11.SERVER)
         try:
-            with anyio.move_on_after(IDLE_S):
-                while await self._serve_one(http, stream):
+            with anyio.move_on_after(CONNECTION_TIMEOUT_S):
+                while await self._serve_request(http, stream):
                     http.start_next_cycle()
         except (
             OSError,
@@ -58,14 +59,14 @@
             anyio.EndOfStream,
             h11.RemoteProtocolError,
         ):
-            pass  # Whoever asked has gone, or does not speak HTTP.
+            pass  # The client closed the connection or sent invalid HTTP.
         finally:
             stream.flush_and_close()
 
-    async def _serve_one(
+    async def _serve_request(
         self, http: h11.Connection, stream: streams.SocketStream
     ) -> bool:
-        """Serves one request; returns whether another one may follow."""
+        """Serves a request; returns whether another one may follow."""
         target = ""
         while True:
             event = http.next_event()
@@ -77,11 +78,11 @@
                 break
             elif isinstance(event, h11.ConnectionClosed):
                 return False
-        make = self._pages.get(target)
-        page = make() if make else Page(NOT_FOUND, "no such page\n")
-        await stream.send(_format(http, page), IDLE_S)
-        done = http.our_state is h11.DONE and http.their_state is h11.DONE
-        return bool(done)
+        make_page = self._pages.get(target)
+        page = make_page() if make_page else Page(NOT_FOUND, "no such page\n")
+        await stream.send(_format(http, page), CONNECTION_TIMEOUT_S)
+        reusable = http.our_state is h11.DONE and http.their_state is h11.DONE
+        return bool(reusable)
 
 
 def _format(http: h11.Connection, page: Page) -> bytes:
--- a/ramptray/node/settings.py
+++ b/ramptray/node/settings.py
@@ -1,4 +1,4 @@
-"""Settings of ``ramptray-node``: what is tuned, not what the platform sets."""
+"""Settings of ``ramptray-node``, apart from those that the platform sets."""
 
 from __future__ import annotations
 
@@ -10,25 +10,27 @@
 
 
 class NodeSettings(model.Model, frozen=True, kw_only=True):
-    """Settings of ``ramptray-node``; the VM's own come from its platform.
+    """Settings of ``ramptray-node``; the platform sets those of each VM.
 
     Attributes:
-        log_level: Least level that is logged.
-        log_events: Whether each event of the time line is also logged.
-        ring_events: Events of the time line that are kept; 0 for none.
-        metrics_port: Port of the metrics, on the VM's own IP number.
-        policy: How backend servers are chosen.
-        retry_part: Part of the deployment's retry budget that is used.
-        budget_vms: Among how many VMs the fixed part of the retry budget is
-            divided; VMs that restart count again.
-        lame_duck_s: How long a stopping VM goes on taking connections: the
-            balancer must have seen twice that it is not ready.
-        exit_margin_s: How long before the kill a stopping VM ends by itself.
-        longest_pause_s: Longest pause that a backend server may ask of this VM:
-            by a mistake it would lose the VM's requests for good.
-        content_key: Secret that goes into the digests of requests' contents,
-            the same on all VMs: without it a log line does not show whether a
-            request had a certain body.
+        log_level: Lowest level that is logged.
+        log_events: Whether events of the time line are also logged.
+        ring_events: Number of time line events kept in memory; 0 for none.
+        metrics_port: Port on which metrics are served, at the VM's IP address.
+        policy: Policy by which backend servers are chosen.
+        retry_part: Fraction of the deployment's retry budget that is used.
+        budget_vms: Number of VMs among which the fixed part of the retry budget
+            is divided; a VM that restarts counts again.
+        lame_duck_s: How long a stopping VM still accepts connections, in
+            seconds: the load balancer must see twice that it is not ready.
+        exit_margin_s: How many seconds before it would be killed a stopping VM
+            exits by itself.
+        longest_pause_s: Longest pause that a backend server may request from
+            this VM, in seconds. Without a limit, a wrong value would keep the
+            VM from ever sending it requests again.
+        content_key: Secret key of the digests of request contents, the same on
+            all VMs. Without the key, nobody can tell from a log line whether
+            a request had a certain body.
     """
 
     log_level: model.LogLevel = "INFO"
@@ -44,8 +46,8 @@
     content_key: Annotated[str, msgspec.Meta(max_length=64)] = ""
 
 
-class Home(msgspec.Struct, frozen=True):
-    """Where the entry of this VM stands; see ``dispatcher.Home``."""
+class DispatcherSettings(msgspec.Struct, frozen=True):
+    """Implements ``dispatcher.DispatcherSettings`` for this VM."""
 
     vm: str
     zone: str
--- a/ramptray/node/start.py
+++ b/ramptray/node/start.py
@@ -1,8 +1,8 @@
 """Starts ``ramptray-node``: opens the callers' socket, then loads the program.
 
-Loading takes some 0.3 s of a core, more on a small VM.  Callers that connect
-meanwhile wait in the socket's queue instead of being refused.  So this module
-must import nothing but the standard library before the socket is open.
+Loading takes about 0.3 s of CPU time, more on a small VM.  Callers that connect
+meanwhile wait in the socket's backlog instead of being refused.  Therefore this
+module may import only the standard library before the socket is open.
 """
 
 from __future__ import annotations
@@ -14,14 +14,16 @@
 
 
 def run() -> None:
-    """Opens the callers' socket and runs the program."""
+    """Opens the callers' socket, then loads and runs the program."""
     try:
         callers = address.read_callers_address()
         if callers is not None:
             listener.open_early(callers)
     except OSError as error:
-        # The program tries again and says what is wrong.
-        print(f"callers' socket not opened early: {error}", file=sys.stderr)
+        # The program tries again and reports the error.
+        print(
+            f"cannot open the callers' socket early: {error}", file=sys.stderr
+        )
     from ramptray.node import main
 
     main.run()
--- a/ramptray/node/suspension.py
+++ b/ramptray/node/suspension.py
@@ -1,4 +1,4 @@
-"""Notices that the VM was suspended, and has doubtful things looked at anew."""
+"""Detects that the VM was suspended."""
 
 from __future__ import annotations
 
@@ -11,53 +11,53 @@
 
 LOG = logging.getLogger(__name__)
 
-LOOK_S = 0.5
-"""Time between two looks, in seconds."""
+CHECK_INTERVAL_S = 0.5
+"""Time between two checks, in seconds."""
 
-NOTICED_S = 0.3
-"""Shortest time away that is told of, in seconds: less is a pause as any busy
-VM has them."""
+MIN_SUSPENSION_S = 0.3
+"""Shortest suspension that is reported, in seconds: shorter pauses are normal
+on a busy VM."""
 
 
 class SuspensionDetector:
-    """Compares the clock that counts suspension with the one that does not.
+    """Compares the clock that counts suspensions with the one that does not.
 
-    Ages are measured by the former, so beliefs are as old as they are; this
-    tells whoever must act on it.
+    Ages are measured by the former, so they are right after a suspension
+    without further work; the callback is for what must be done beyond that.
 
     Args:
-        on_return: Called with how long the VM was away, in seconds.
-        read: Reads the clock that counts suspension.
-        read_monotonic: Reads the one that does not.
+        on_suspended: Called after a suspension with its length in seconds.
+        read: Reads the clock that counts suspensions.
+        read_monotonic: Reads the clock that does not count them.
     """
 
     def __init__(
         self,
-        on_return: Callable[[float], None],
+        on_suspended: Callable[[float], None],
         read: Callable[[], float] = steadyclock.read,
         read_monotonic: Callable[[], float] = steadyclock.read_monotonic,
     ) -> None:
-        self._on_return = on_return
+        self._on_suspended = on_suspended
         self._read = read
         self._read_monotonic = read_monotonic
-        self._away_before = self._measure()
+        self._last_total_s = self._get_total_suspension()
 
     async def run(self) -> None:
-        """Looks until cancelled."""
+        """Checks periodically until cancelled."""
         while True:
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
             self.check()
 
     def check(self) -> None:
-        """Tells if the VM was away since the last look."""
-        away = self._measure()
-        away_s = away - self._away_before
-        self._away_before = away
-        if away_s < NOTICED_S:
+        """Reports a suspension since the last check."""
+        total_s = self._get_total_suspension()
+        suspended_s = total_s - self._last_total_s
+        self._last_total_s = total_s
+        if suspended_s < MIN_SUSPENSION_S:
             return
-        LOG.warning("VM was suspended", extra={"away_s": round(away_s, 3)})
-        self._on_return(away_s)
+        LOG.warning("VM was suspended", extra={"away_s": round(suspended_s, 3)})
+        self._on_suspended(suspended_s)
 
-    def _measure(self) -> float:
-        """Returns for how long the VM has been suspended in all, in seconds."""
+    def _get_total_suspension(self) -> float:
+        """Returns how long the VM has been suspended in total, in seconds."""
         return self._read() - self._read_monotonic()
--- a/test/test_loading.py
+++ b/test/test_loading.py
@@ -1,4 +1,4 @@
-"""What a VM's program loads: it is paid for at each start, before any work."""
+"""Tests of which packages a VM's program loads, as they delay each start."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 import pytest
 
-EARLY = frozenset(sys.stdlib_module_names) | {"ramptray"}
+EARLY_PACKAGES = frozenset(sys.stdlib_module_names) | {"ramptray"}
 """Packages that may be loaded before the callers' socket is open."""
 
-LATE = EARLY | {
+ALLOWED_PACKAGES = EARLY_PACKAGES | {
     "anyio",
     "click",
     "grpc",
@@ -26,8 +26,8 @@
     "xxhash",
     "zstandard",
 }
-"""Packages that the whole program may load: each costs every start of every VM.
-With pydantic and cryptography that took 0.71 s of processor time and 60 MB,
+"""Packages that the whole program may load. Each delays every start of a VM:
+with pydantic and cryptography a start took 0.71 s of CPU time and 60 MB,
 without them 0.37 s and 40 MB (medians of 20 starts)."""
 
 SCRIPT = """
@@ -42,15 +42,18 @@
 
 @pytest.mark.parametrize(
     ("module", "allowed"),
-    [("ramptray.node.start", EARLY), ("ramptray.node.main", LATE)],
+    [
+        ("ramptray.node.start", EARLY_PACKAGES),
+        ("ramptray.node.main", ALLOWED_PACKAGES),
+    ],
 )
-def test_a_vm_s_program_loads_nothing_that_it_does_not_need(
+def test_program_loads_only_allowed_packages(
     module: str, allowed: frozenset[str]
 ) -> None:
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", SCRIPT.format(module=module)],
         capture_output=True,
         text=True,
         check=True,
     )
-    assert set(done.stdout.split()) - allowed == set()
+    assert set(result.stdout.split()) - allowed == set()
--- a/test/test_logsink.py
+++ b/test/test_logsink.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded in number and never block."""
+"""Tests that logging is rate limited and never blocks the program."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
         return b""
 
 
-def test_lines_beyond_the_bound_are_counted_and_told() -> None:
+def test_dropped_lines_are_counted_and_reported() -> None:
     reader, writer = os.pipe()
     os.set_blocking(reader, False)
     handler = logsink.BoundedHandler(writer, lines_per_s=10)
-    time.sleep(1.0 - steadyclock.read() % 1.0)  # The bound is for a second.
+    time.sleep(1.0 - steadyclock.read() % 1.0)  # Start of a second.
     for _ in range(50):
         handler.emit(make_record())
     handler.emit(make_record(logging.ERROR))
@@ -36,21 +36,21 @@
     assert b"log lines left out" in read(reader)
 
 
-def test_a_reader_that_stands_still_does_not_block() -> None:
+def test_stalled_reader_does_not_block() -> None:
     reader, writer = os.pipe()
     os.set_blocking(reader, False)
     handler = logsink.BoundedHandler(writer, lines_per_s=10**9)
-    began = steadyclock.read()
+    started_at = steadyclock.read()
     for _ in range(100_000):
         handler.emit(make_record())
-    assert steadyclock.read() - began < 10
+    assert steadyclock.read() - started_at < 10
     assert handler.dropped_lines > 0
     read(reader)
     handler.flush()
     assert read(reader)
 
 
-def test_a_reader_that_has_gone_does_not_end_the_program() -> None:
+def test_closed_reader_does_not_end_the_program() -> None:
     reader, writer = os.pipe()
     handler = logsink.BoundedHandler(writer)
     os.close(reader)
--- a/test/test_node.py
+++ b/test/test_node.py
@@ -1,4 +1,4 @@
-"""The whole path on the users' platform, over stand-ins of it."""
+"""End-to-end tests of ``ramptray-node`` against simulated platform services."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from ramptray.platform import address
 from test import node
 
-NUMBERS = itertools.count(1)
+REQUEST_NUMBERS = itertools.count(1)
 
 
 @pytest.fixture(scope="module")
 def platform() -> Iterator[node.Platform]:
-    """One VM, two replicas; tests take their faults back."""
+    """One VM and two replicas, whose faults are cleared after each test."""
     with node.run_platform() as started:
         wait_until(lambda: ask(started, "/safe/").status == 200)
         yield started
 
 
 @pytest.fixture(autouse=True)
-def _no_faults(request: pytest.FixtureRequest) -> Iterator[None]:
+def _clear_faults(request: pytest.FixtureRequest) -> Iterator[None]:
     yield
     if "platform" in request.fixturenames:
         started = request.getfixturevalue("platform")
@@ -38,9 +38,9 @@
 
 
 def wait_until(check: Callable[[], bool], within_s: float = 8.0) -> None:
-    ends_at = time.monotonic() + within_s
+    deadline = time.monotonic() + within_s
     while not check():
-        assert time.monotonic() < ends_at, "did not come about in time"
+        assert time.monotonic() < deadline, "condition not met in time"
         time.sleep(0.05)
 
 
@@ -48,7 +48,7 @@
     named = {name.replace("_", "-"): value for name, value in further.items()}
     return {
         "Host": "lm.example",
-        "X-Request-Id": f"r{next(NUMBERS)}",
+        "X-Request-Id": f"r{next(REQUEST_NUMBERS)}",
         "X-Deadline-Ms": "3000",
         "Authorization": f"Bearer {node.KEY}",
         **named,
@@ -69,14 +69,14 @@
     return node.call(front, method, path, body, sent)
 
 
-def test_an_answer_comes_back_unchanged(platform: node.Platform) -> None:
+def test_response_is_passed_on_unchanged(platform: node.Platform) -> None:
     answer = ask(platform, "/safe/a?b=c", "POST", b"12345")
     assert answer.status == 200
     assert json.loads(answer.body) == {"path": "/safe/a?b=c", "bytes": 5}
     assert answer.headers["x-response-signature"].endswith("./safe/a?b=c")
 
 
-def test_the_replica_is_told_the_customer_and_never_the_key(
+def test_replica_receives_the_customer_but_not_the_key(
     platform: node.Platform,
 ) -> None:
     further = {"X_Tenant": "somebody", "X_Hold": "h", "Kv_From": "x"}
@@ -101,17 +101,17 @@
         ("/safe/", {"X_Big": "x" * 9000}, 431),
     ],
 )
-def test_requests_that_are_not_served(
+def test_invalid_requests_are_refused(
     platform: node.Platform, path: str, further: dict[str, str], status: int
 ) -> None:
     assert ask(platform, path, headers=further).status == status
 
 
-def test_a_body_beyond_the_limit_is_refused(platform: node.Platform) -> None:
+def test_too_large_body_is_refused(platform: node.Platform) -> None:
     assert ask(platform, "/once/", "POST", b"x" * 70_000).status == 413
 
 
-def test_two_lengths_of_a_body_are_refused(platform: node.Platform) -> None:
+def test_conflicting_body_lengths_are_refused(platform: node.Platform) -> None:
     host, port = platform.vms["vm-0"]["front"].split(":")
     with socket.create_connection((host, int(port)), timeout=5) as caller:
         caller.sendall(
@@ -124,7 +124,7 @@
     assert "smuggled" not in platform.list_runs()
 
 
-def test_a_refusal_that_says_not_run_is_true(platform: node.Platform) -> None:
+def test_refused_request_was_not_executed(platform: node.Platform) -> None:
     for name in platform.replicas:
         platform.set_faults(name, refuse=True)
     answer = ask(platform, "/once/", "POST", b"x", X_Request_Id="refused-1")
@@ -133,7 +133,7 @@
     assert "refused-1" not in platform.list_runs()
 
 
-def test_a_failure_of_what_runs_once_is_passed_on(
+def test_failure_of_an_unsafe_request_is_passed_on(
     platform: node.Platform,
 ) -> None:
     for name in platform.replicas:
@@ -144,7 +144,7 @@
     assert platform.list_runs().count("once-1") == 1
 
 
-def test_a_failure_of_a_safe_request_is_tried_elsewhere(
+def test_failed_safe_request_is_retried_on_another_replica(
     platform: node.Platform,
 ) -> None:
     platform.set_faults("i-0", fail=True)
@@ -152,11 +152,11 @@
     assert statuses == {200}
 
 
-def test_a_safe_request_leaves_a_replica_that_hangs(
+def test_safe_request_is_retried_when_a_replica_hangs(
     platform: node.Platform,
 ) -> None:
-    # kl-ramptray, inc-b461: a lookup stayed with a dark replica until its
-    # caller's deadline.
+    # Guards against a safe request that waits for an unresponsive replica until
+    # its caller's deadline.
     platform.set_faults("i-0", work_s=8.0)
     for _ in range(4):
         began = time.monotonic()
@@ -164,23 +164,25 @@
         assert time.monotonic() - began < 2.0
 
 
-def test_a_stream_goes_on_at_another_replica(platform: node.Platform) -> None:
+def test_broken_stream_is_resumed_on_another_replica(
+    platform: node.Platform,
+) -> None:
     platform.set_faults("i-0", cut_after=2)
-    wanted = b"".join(
+    expected = b"".join(
         f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, 6)
     )
     for _ in range(4):
         answer = ask(platform, "/stream/", "POST", b"x")
         assert (answer.status, answer.whole) == (200, True)
-        assert answer.body == wanted
+        assert answer.body == expected
 
 
-def test_a_stream_that_hangs_goes_on_at_another_replica(
+def test_hanging_stream_is_resumed_on_another_replica(
     platform: node.Platform,
 ) -> None:
-    # hanbit-qlog, trouble-1: streams stayed with replicas behind a cut until
-    # their callers gave up.
-    wanted = b"".join(
+    # Guards against streams that wait for replicas behind a network cut until
+    # their callers give up.
+    expected = b"".join(
         f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, 6)
     )
     for hanging in platform.replicas:
@@ -190,11 +192,11 @@
         began = time.monotonic()
         answer = ask(platform, "/stream/", "POST", b"x")
         assert (answer.status, answer.whole) == (200, True)
-        assert answer.body == wanted
+        assert answer.body == expected
         assert time.monotonic() - began < 2.0
 
 
-def test_a_stream_that_cannot_go_on_is_not_ended_as_whole(
+def test_stream_that_cannot_be_resumed_ends_incomplete(
     platform: node.Platform,
 ) -> None:
     for name in platform.replicas:
@@ -204,7 +206,7 @@
     assert answer.body.count(b"data:") == 2
 
 
-def test_an_answer_to_another_request_is_skipped(
+def test_response_to_another_request_is_skipped(
     platform: node.Platform,
 ) -> None:
     for name in platform.replicas:
@@ -214,14 +216,14 @@
         assert json.loads(answer.body)["path"] == "/safe/mine"
 
 
-def test_an_answer_without_a_length_is_whole(platform: node.Platform) -> None:
+def test_response_without_a_length_is_complete(platform: node.Platform) -> None:
     for name in platform.replicas:
         platform.set_faults(name, unframed=True)
     answer = ask(platform, "/safe/free")
     assert json.loads(answer.body)["path"] == "/safe/free"
 
 
-def test_work_ends_soon_after_the_caller_has_gone(
+def test_work_is_cancelled_soon_after_the_caller_disconnects(
     platform: node.Platform,
 ) -> None:
     for name in platform.replicas:
@@ -233,13 +235,13 @@
     wait_until(lambda: "left-1" in platform.list_runs())
     caller.close()
 
-    def is_gone() -> bool:
+    def is_cancelled() -> bool:
         return any(
             "left-1" in platform.read_ledger(name)["gone"]
             for name in platform.replicas
         )
 
-    wait_until(is_gone, 0.5)
+    wait_until(is_cancelled, 0.5)
 
 
 def test_a_customer_over_its_limit_gets_429(platform: node.Platform) -> None:
@@ -256,11 +258,11 @@
     assert float(answers[-1].headers["retry-after"]) > 0
 
 
-def fill_replicas(started: node.Platform, last: str) -> None:
-    """Sends so much work at once that also the last replica gets some.
+def use_all_replicas(started: node.Platform, last: str) -> None:
+    """Sends enough concurrent requests for the last replica to get some.
 
-    Requests sent one after the other may all go to one that is a little faster;
-    what was learned first, and so which one that is, depends on chance.
+    Sequential requests may all go to the same replica if it is a little faster;
+    which one that is depends on the first measurements, hence on chance.
     """
     for name in started.replicas:
         started.set_faults(name, work_s=0.3)
@@ -279,11 +281,11 @@
         started.set_faults(name)
 
 
-def test_a_replica_that_leaves_gets_no_new_work(
+def test_draining_replica_gets_no_new_requests(
     platform: node.Platform,
 ) -> None:
     platform.start_replica("i-leaving")
-    fill_replicas(platform, "i-leaving")
+    use_all_replicas(platform, "i-leaving")
     platform.write_record("i-leaving", "draining")
     time.sleep(0.5)
     before = len(platform.read_ledger("i-leaving")["runs"])
@@ -292,19 +294,19 @@
     assert len(platform.read_ledger("i-leaving")["runs"]) == before
 
 
-def test_a_configuration_without_sense_changes_nothing(
+def test_invalid_configuration_is_ignored(
     platform: node.Platform,
 ) -> None:
     platform.set_config({"version": 90, "routes": [{"name": "x"}]})
 
-    def is_told() -> bool:
+    def is_reported() -> bool:
         return any(
             line["message"] == "configuration passed over"
             and "routes.0.hostname" in line["detail"]
             for line in platform.read_log("vm-0")
         )
 
-    wait_until(is_told)
+    wait_until(is_reported)
     assert ask(platform, "/safe/").status == 200
 
 
@@ -312,13 +314,13 @@
     port = platform.vms["vm-0"]["metrics"]
     page = node.call(f"127.0.0.1:{port}", "GET", "/metrics")
     assert b"ramptray_requests_ended_total" in page.body
-    # What tells a read that was lost from a topic in which nothing changes.
+    # These tell a lost read from a topic in which nothing changes.
     for name in (b"read_underway", b"answer_age"):
         line = b"ramptray_log_" + name + b'_seconds{stream="keyed.op"} '
         assert line in page.body
 
 
-def test_a_vm_without_a_configuration_says_so() -> None:
+def test_vm_without_a_configuration_is_unavailable() -> None:
     with node.run_platform(vms=0, replicas=0) as alone:
         alone.start_vm("vm-0", store="127.0.0.1:9")
         ready = node.call(alone.vms["vm-0"]["ready"], "GET", "/v1/ready")
@@ -328,7 +330,7 @@
         assert float(answer.headers["retry-after"]) > 0
 
 
-def test_a_vm_that_the_store_turns_away_hears_from_its_peers() -> None:
+def test_vm_without_the_store_is_updated_by_its_peers() -> None:
     with node.run_platform(vms=1) as two:
         two.start_vm("vm-1", store="127.0.0.1:9")
         wait_until(lambda: ask(two, "/safe/", vm="vm-1").status == 200)
@@ -339,7 +341,7 @@
         assert ask(two, "/safe/", vm="vm-1").status == 404
 
 
-def test_a_planned_stop_cuts_nothing_and_takes_nothing_late() -> None:
+def test_planned_stop_finishes_requests_and_accepts_no_late_ones() -> None:
     with node.run_platform(replicas=1) as alone:
         wait_until(lambda: ask(alone, "/safe/").status == 200)
         host, port = alone.vms["vm-0"]["front"].split(":")
@@ -366,7 +368,7 @@
         assert "late-1" not in alone.list_runs()
 
 
-def test_the_callers_address_is_found_before_all_else(
+def test_callers_address_is_read_before_the_settings(
     tmp_path: pytest.TempPathFactory, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "node.toml"  # type: ignore[operator]
--- a/test/test_outage.py
+++ b/test/test_outage.py
@@ -1,4 +1,4 @@
-"""The log is down, a zone is cut off: what is served, and what comes after."""
+"""Tests of service during and after an outage of the log or of a zone."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 @pytest.fixture(scope="module")
 def started() -> Iterator[deployment.Deployment]:
-    """A deployment of its own; each test ends its faults."""
-    with deployment.run_deployment(PLAN) as made:
-        yield made
+    """A separate deployment; each test resets the faults that it sets."""
+    with deployment.run_deployment(PLAN) as deployed:
+        yield deployed
 
 
-def complete(
+def send_completion(
     started: deployment.Deployment, vm: str, **headers: str
 ) -> tuple[int, Any, Any]:
     url = started.processes[f"entry/{vm}"].url + "/v1/completions"
@@ -44,7 +44,7 @@
     return int(started.get(f"entry/{vm}", "/readyz")["generation"])
 
 
-def test_a_fresh_vm_takes_the_bundle_from_its_peers(
+def test_restarted_vm_gets_the_bundle_from_its_peers(
     started: deployment.Deployment,
 ) -> None:
     started.put("platform", "/faults", {"log_down": True})
@@ -52,25 +52,25 @@
         started.kill(f"{program}/waw-a-vm2")
         started.start(f"{program}/waw-a-vm2")
     started.wait_ready()
-    assert complete(started, "waw-a-vm2")[0] == 200
+    assert send_completion(started, "waw-a-vm2")[0] == 200
     started.put("platform", "/faults", {})
 
 
-def test_without_the_log_keys_are_refused_and_the_rest_is_served(
+def test_only_requests_with_keys_are_refused_without_the_log(
     started: deployment.Deployment,
 ) -> None:
     started.put("platform", "/faults", {"log_down": True})
-    keyed = complete(started, "waw-a-vm1", **{"idempotency-key": "k"})
+    keyed = send_completion(started, "waw-a-vm1", **{"idempotency-key": "k"})
     assert keyed[0] == 503
     assert keyed[2]["error"]["reason"] == "log_unavailable"
     assert keyed[2]["error"]["outcome"] == "not_run"
-    assert complete(started, "waw-a-vm1")[0] == 200
+    assert send_completion(started, "waw-a-vm1")[0] == 200
     started.put("platform", "/faults", {})
-    again = complete(started, "waw-a-vm1", **{"idempotency-key": "k"})
+    again = send_completion(started, "waw-a-vm1", **{"idempotency-key": "k"})
     assert again[0] == 200
 
 
-def test_a_zone_that_was_cut_off_serves_and_then_takes_the_newer_bundle(
+def test_isolated_zone_keeps_serving_and_gets_the_new_bundle_later(
     started: deployment.Deployment,
 ) -> None:
     started.cut_zone("waw-b")
@@ -83,7 +83,7 @@
     test_orders.wait_until(
         lambda: read_generation(started, "waw-a-vm1") == generation
     )
-    assert complete(started, "waw-b-vm1")[0] == 200
+    assert send_completion(started, "waw-b-vm1")[0] == 200
     assert read_generation(started, "waw-b-vm1") == generation - 1
     started.join_zones()
     test_orders.wait_until(
--- a/test/test_suspension.py
+++ b/test/test_suspension.py
@@ -1,8 +1,8 @@
-"""A VM that is suspended for seconds: its steady clock stands still meanwhile.
+"""Tests of a VM that is suspended for seconds.
 
-After ten seconds away a VM took connections, grants and what it had been told
-for as fresh as before: all ages were measured by a clock that does not count
-the time away.
+They guard against ages measured by a clock that stops during a suspension:
+after ten seconds, the VM took connections, grants and data from other processes
+to be as fresh as before.
 """
 
 from __future__ import annotations
@@ -19,31 +19,33 @@
 from test.test_attempts import FakeIdleConnection
 
 ROOT = pathlib.Path(__file__).parent.parent / "ramptray"
-READERS = {"steadyclock.py"}
-"""Modules that may read a clock which counts seconds."""
+CLOCK_MODULES = {"steadyclock.py"}
+"""Modules that may read a system clock."""
 
-AWAY_S = 30.0
+SUSPENDED_S = 30.0
 
 
 @pytest.mark.parametrize(
     "reading",
     ["time.monotonic", "perf_counter", "loop.time()", "clock_gettime"],
 )
-def test_ages_are_measured_by_one_clock(reading: str) -> None:
+def test_only_steadyclock_reads_the_system_clock(reading: str) -> None:
     found = [
         str(path.relative_to(ROOT))
         for path in ROOT.rglob("*.py")
-        if path.name not in READERS and reading in path.read_text()
+        if path.name not in CLOCK_MODULES and reading in path.read_text()
     ]
     assert found == []
 
 
-def test_a_connection_from_before_a_suspension_is_not_lent(
+def test_idle_connection_is_not_reused_after_a_suspension(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     steady = time.monotonic()
     monkeypatch.setattr(time, "monotonic", lambda: steady)
-    monkeypatch.setattr(time, "clock_gettime", lambda clock: steady + AWAY_S)
+    monkeypatch.setattr(
+        time, "clock_gettime", lambda clock: steady + SUSPENDED_S
+    )
     idle = FakeIdleConnection(steady)
 
     async def run() -> None:
@@ -56,18 +58,18 @@
     assert idle.closed
 
 
-def test_a_vm_notices_that_it_was_suspended() -> None:
-    running, away = 100.0, 0.0
-    told: list[float] = []
+def test_suspension_is_detected_and_reported_once() -> None:
+    monotonic, suspended = 100.0, 0.0
+    reported: list[float] = []
 
-    watch = suspension.SuspensionDetector(
-        told.append, lambda: running + away, lambda: running
+    detector = suspension.SuspensionDetector(
+        reported.append, lambda: monotonic + suspended, lambda: monotonic
     )
-    running += 50.0
-    watch.check()
-    assert told == []
-    running, away = running + 0.1, away + AWAY_S
-    watch.check()
-    assert told == [pytest.approx(AWAY_S)]
-    watch.check()
-    assert len(told) == 1
+    monotonic += 50.0
+    detector.check()
+    assert reported == []
+    monotonic, suspended = monotonic + 0.1, suspended + SUSPENDED_S
+    detector.check()
+    assert reported == [pytest.approx(SUSPENDED_S)]
+    detector.check()
+    assert len(reported) == 1
--- a/test/test_timeline.py
+++ b/test/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line over all processes, asked for and built from logs."""
+"""Tests of the time line, from live processes and from their logs."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from ramptray.core import clock
 from test import test_path
 
-CAUSES = ["request", "grant", "dispatch", "first_token", "end"]
+KINDS = ["request", "grant", "dispatch", "first_token", "end"]
 
 
 def run(*arguments: str) -> str:
-    done = testing.CliRunner().invoke(timeline.command, arguments)
-    assert done.exit_code == 0, done.output
-    return done.output
+    result = testing.CliRunner().invoke(timeline.command, arguments)
+    assert result.exit_code == 0, result.output
+    return result.output
 
 
 def send_request(running: deployment.Deployment) -> str:
@@ -30,28 +30,26 @@
     return str(headers["x-request-id"])
 
 
-def test_a_request_is_followed_over_processes_in_the_order_of_causes(
+def test_events_of_a_request_are_in_causal_order_across_processes(
     running: deployment.Deployment, tmp_path: pathlib.Path
 ) -> None:
     request_id = send_request(running)
     settings = str(running.folder / "operator.json")
-    asked = run("--settings", settings, "--subject", request_id, "--json")
-    events = [json.loads(line) for line in asked.splitlines()]
-    assert [event["kind"] for event in events] == CAUSES
+    live = run("--settings", settings, "--subject", request_id, "--json")
+    events = [json.loads(line) for line in live.splitlines()]
+    assert [event["kind"] for event in events] == KINDS
     assert len({event["process"] for event in events}) == 2
     logs = [f"--logs={file}" for file in running.folder.glob("*.log")]
     logged = run(*logs, "--subject", request_id, "--json")
-    assert logged == asked
+    assert logged == live
     page = tmp_path / "page.html"
     run(*logs, "--subject", request_id, "--html", str(page))
-    drawn = page.read_text()
-    assert drawn.count("<circle") == len(CAUSES)
-    assert "http" not in drawn.replace(request_id, "")
+    html = page.read_text()
+    assert html.count("<circle") == len(KINDS)
+    assert "http" not in html.replace(request_id, "")
 
 
-def test_a_clock_that_runs_behind_never_puts_an_effect_before_its_cause() -> (
-    None
-):
+def test_slow_clock_never_puts_an_effect_before_its_cause() -> None:
     ahead = clock.HybridClock(lambda: 1_000_000)
     behind = clock.HybridClock(lambda: 10)
     sent = ahead.tick()
