--- a/ramptray/__init__.py
+++ b/ramptray/__init__.py
@@ -1,3 +1,3 @@
-"""ramptray: a request scheduler for unlike model engines."""
+"""ramptray: a request scheduler for heterogeneous model engines."""
 
 __version__ = "0.1.0"
--- a/ramptray/httperror.py
+++ b/ramptray/httperror.py
@@ -1,4 +1,4 @@
-"""Turns the HTTP library's errors into those of the layer that uses it."""
+"""Translates errors of the HTTP library into those of the calling module."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 def translate_errors(
     url: str, not_sent: type[Exception], broken: type[Exception]
 ) -> Iterator[None]:
-    """Tells apart whether a request can have been sent.
+    """Distinguishes requests that were not sent from those that may have been.
 
     Args:
-        url: Where it was sent to.
-        not_sent: Raised where no byte of it was sent.
-        broken: Raised where it may have arrived.
+        url: URL of the request.
+        not_sent: Raised if no byte of the request was sent.
+        broken: Raised if the request may have arrived.
     """
     try:
         yield
--- a/ramptray/logsink.py
+++ b/ramptray/logsink.py
@@ -1,4 +1,4 @@
-"""Where log lines go: bounded in number, and never blocking the program."""
+"""Log output that is rate limited and never blocks the program."""
 
 from __future__ import annotations
 
@@ -13,33 +13,35 @@
 
 from ramptray import steadyclock, wallclock
 
-LINES_PER_S = 500
-"""Lines a second below warnings: five a request at a hundred requests a second,
-about what a small entry VM serves."""
+MAX_LINES_PER_S = 500
+"""Maximum number of lines per second below warnings: five per request at a
+hundred requests per second, about the load of a small entry VM."""
 
 MAX_PENDING_BYTES = 256 * 1024
-"""Bytes that may wait for a slow reader; beyond it lines are left out."""
+"""Bytes that are buffered for a slow reader; further lines are dropped."""
 
 REPORT_INTERVAL_S = 1.0
-"""How often it is told how many lines were left out, in seconds."""
+"""Shortest time between two reports of dropped lines, in seconds."""
 
-GATHER_BYTES = 16 * 1024
-"""Bytes that are written without waiting for more."""
+MAX_BATCH_BYTES = 16 * 1024
+"""Buffered bytes beyond which a batch is written at once."""
 
 Schedule = Callable[[Callable[[], None]], object]
-"""Calls back once, at the end of the event loop's turn."""
+"""Calls a function once, at the end of the current event loop iteration."""
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a file descriptor without ever waiting for it.
+    """Writes lines to a file descriptor without ever blocking.
 
     Args:
-        descriptor: Where the lines go.
-        lines_per_s: Lines a second that are written at most, warnings and
-            errors aside.
+        descriptor: File descriptor to write to; it is made non-blocking.
+        lines_per_s: Maximum number of lines per second; warnings and errors
+            are exempt.
     """
 
-    def __init__(self, descriptor: int, lines_per_s: int = LINES_PER_S) -> None:
+    def __init__(
+        self, descriptor: int, lines_per_s: int = MAX_LINES_PER_S
+    ) -> None:
         super().__init__()
         self.dropped_lines = 0
         self._descriptor = descriptor
@@ -47,30 +49,30 @@
         self._pending = bytearray()
         self._second = 0
         self._lines = 0
-        self._told = 0
-        self._told_at = 0.0
+        self._reported_lines = 0
+        self._reported_at = 0.0
         self._schedule: Schedule | None = None
         self._is_scheduled = False
         self._encoder = msgspec.json.Encoder()
-        self._stamp_second = 0
-        self._stamp = ""
+        self._timestamp_second = 0
+        self._timestamp = ""
         os.set_blocking(descriptor, False)
 
     def set_batch_schedule(self, schedule: Schedule | None) -> None:
-        """Writes the lines of one turn together, where they are not urgent.
+        """Batches the lines of one event loop iteration, except urgent ones.
 
         Each write costs a system call, and a request has five lines.  Lines
-        that waited longer would be missing where a process is killed.
+        are not held longer, as they would be lost when the process is killed.
 
         Args:
-            schedule: Calls back later; None to write each line at once.
+            schedule: Schedules the write; None to write each line at once.
         """
         self._schedule = schedule
         self._is_scheduled = False
         self.flush()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes a line, or counts it as left out."""
+        """Writes a line, or counts it as dropped."""
         urgent = record.levelno >= logging.WARNING
         if not self._may_write(urgent):
             self.dropped_lines += 1
@@ -83,21 +85,21 @@
         self._write(line, urgent)
 
     def write_event(self, name: str, text: str, event: dict[str, Any]) -> None:
-        """Writes a line of an event; it looks like those of the formatter.
+        """Writes a line for an event, in the format of the formatter.
 
-        The formatter's way through records and templates costs several times
-        as much as the line itself.
+        It bypasses the formatter, whose records and templates cost several
+        times as much as encoding the line itself.
 
         Args:
-            name: The logger's name.
-            text: The message.
-            event: Its facts, JSON values.
+            name: Name of the logger.
+            text: Message of the line.
+            event: Fields of the event, JSON values.
         """
         if not self._may_write(False):
             self.dropped_lines += 1
             return
         line = {
-            "time": self._make_stamp(),
+            "time": self._make_timestamp(),
             "level": "INFO",
             "name": name,
             "message": text,
@@ -107,7 +109,7 @@
         self._write(self._encoder.encode(line) + b"\n", False)
 
     def flush(self) -> None:
-        """Writes what waits, as far as the reader takes it now."""
+        """Writes as much of the buffer as is possible without blocking."""
         try:
             while self._pending:
                 written = os.write(self._descriptor, self._pending)
@@ -117,31 +119,31 @@
         except OSError as error:
             if error.errno != errno.EPIPE:
                 raise
-            # Nobody reads the log any more; that must not end the program.
+            # The reader is gone; that must not end the program.
             self._pending.clear()
 
-    def _make_stamp(self) -> str:
-        """Returns the time of day in UTC, to the millisecond."""
+    def _make_timestamp(self) -> str:
+        """Returns the date and time in UTC, to the millisecond."""
         second, micros = divmod(wallclock.read(), 1_000_000)
-        if second != self._stamp_second:
-            self._stamp_second = second
-            moment = time.gmtime(second)
-            self._stamp = time.strftime("%Y-%m-%d %H:%M:%S", moment)
-        return f"{self._stamp},{micros // 1000:03}"
+        if second != self._timestamp_second:
+            self._timestamp_second = second
+            parts = time.gmtime(second)
+            self._timestamp = time.strftime("%Y-%m-%d %H:%M:%S", parts)
+        return f"{self._timestamp},{micros // 1000:03}"
 
     def _write(self, line: bytes, urgent: bool) -> None:
         if len(self._pending) + len(line) > MAX_PENDING_BYTES:
             self.dropped_lines += 1
         else:
             self._pending += line
-        gathers = self._schedule is not None and not urgent
-        if not gathers or len(self._pending) > GATHER_BYTES:
+        batches = self._schedule is not None and not urgent
+        if not batches or len(self._pending) > MAX_BATCH_BYTES:
             self.flush()
         elif not self._is_scheduled and self._schedule is not None:
             self._is_scheduled = True
-            self._schedule(self._flush_gathered)
+            self._schedule(self._flush_batch)
 
-    def _flush_gathered(self) -> None:
+    def _flush_batch(self) -> None:
         self._is_scheduled = False
         self.flush()
 
@@ -151,27 +153,27 @@
             self._second = int(now)
             self._lines = 0
         if (
-            self.dropped_lines > self._told
-            and now - self._told_at >= REPORT_INTERVAL_S
+            self.dropped_lines > self._reported_lines
+            and now - self._reported_at >= REPORT_INTERVAL_S
         ):
-            self._told_at = now
-            self._tell()
+            self._reported_at = now
+            self._report_dropped_lines()
         self._lines += 1
         return urgent or self._lines <= self._lines_per_s
 
-    def _tell(self) -> None:
-        """Writes how many lines were left out since this was told last."""
-        count = self.dropped_lines - self._told
-        self._told = self.dropped_lines
-        told = logging.LogRecord(
+    def _report_dropped_lines(self) -> None:
+        """Writes how many lines were dropped since the last report."""
+        count = self.dropped_lines - self._reported_lines
+        self._reported_lines = self.dropped_lines
+        report = logging.LogRecord(
             __name__, logging.WARNING, "", 0, "log lines left out", None, None
         )
-        told.count = count
-        self._write(self.format(told).encode() + b"\n", True)
+        report.count = count
+        self._write(self.format(report).encode() + b"\n", True)
 
 
 def write_event(name: str, text: str, event: dict[str, Any]) -> bool:
-    """Writes a line of an event; tells whether there is where to write it."""
+    """Writes a line for an event; returns False if no handler can write it."""
     root = logging.getLogger()
     if not root.isEnabledFor(logging.INFO):
         return True
@@ -183,7 +185,7 @@
 
 
 def set_batch_schedule(schedule: Schedule | None) -> None:
-    """Has lines written together; see ``BoundedHandler.set_batch_schedule``."""
+    """Batches log lines; see ``BoundedHandler.set_batch_schedule``."""
     for handler in logging.getLogger().handlers:
         if isinstance(handler, BoundedHandler):
             handler.set_batch_schedule(schedule)
--- a/ramptray/mailbox.py
+++ b/ramptray/mailbox.py
@@ -1,8 +1,8 @@
-"""Events for the one that owns a piece of state, handled one at a time.
+"""Event queue of an object that owns state: handles one event at a time.
 
-An event is handled by whoever posts it, unless another one is being handled:
-then it waits until that is done.  A task of its own for the events would cost a
-switch of tasks for each.
+An event is handled in the task that posts it, unless another event is being
+handled: then it is queued until that is done.  A separate task for the events
+would cost a task switch for each of them.
 """
 
 from __future__ import annotations
@@ -15,54 +15,54 @@
 
 
 class Mailbox:
-    """Takes events and has them handled in their order.
+    """Queues events and handles them in order.
 
     Args:
-        handle: Handles one event.
+        handle: Called with each event.
     """
 
     def __init__(self, handle: Callable[[Any], None]) -> None:
         self._handle = handle
-        self._waiting: collections.deque[Any] = collections.deque()
+        self._queue: collections.deque[Any] = collections.deque()
         self._is_open = False
         self._is_handling = False
         self._error: Exception | None = None
         self._failed = anyio.Event()
 
     def post(self, event: Any) -> None:
-        """Has an event handled, at once if it can be."""
-        self._waiting.append(event)
+        """Queues an event, and handles it at once if possible."""
+        self._queue.append(event)
         if self._is_open and not self._is_handling:
-            self._handle_waiting()
+            self._handle_queue()
 
     def drain(self) -> list[Any]:
-        """Returns the events that wait, and handles them no more."""
-        waiting = list(self._waiting)
-        self._waiting.clear()
-        return waiting
+        """Removes and returns the queued events, which are not handled."""
+        events = list(self._queue)
+        self._queue.clear()
+        return events
 
     async def run(self) -> None:
         """Handles events until cancelled.
 
         Raises:
-            Exception: What the handling of an event raised, whoever posted it.
+            Exception: The handler raised it, for an event of any caller.
         """
         self._is_open = True
         try:
-            self._handle_waiting()
+            self._handle_queue()
             await self._failed.wait()
         finally:
             self._is_open = False
         if self._error is not None:
             raise self._error
 
-    def _handle_waiting(self) -> None:
+    def _handle_queue(self) -> None:
         self._is_handling = True
         try:
-            while self._waiting and self._error is None:
-                self._handle(self._waiting.popleft())
+            while self._queue and self._error is None:
+                self._handle(self._queue.popleft())
         except Exception as error:
-            # It is no mistake of whoever happened to post the event.
+            # Raised in run(): whoever posted the event did not cause it.
             self._error = error
             self._failed.set()
         finally:
--- a/ramptray/process.py
+++ b/ramptray/process.py
@@ -1,4 +1,4 @@
-"""What every program shares: arguments, logs, signals and exit codes."""
+"""Command line, logging, signals and exit codes shared by all programs."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
 
 EXIT_OK = 0
 EXIT_INVALID_INPUT = 2
-"""Settings, bundle or arguments have a mistake."""
+"""The settings, the bundle or the arguments are invalid."""
 
 EXIT_FAILED = 1
-"""The work could not be done."""
+"""The program failed."""
 
 SettingsT = TypeVar("SettingsT", bound=msgspec.Struct)
 
 
 class ProcessError(Exception):
-    """A failure that ends the program, said in one line."""
+    """An error that ends the program; its message is one line."""
 
 
 class Stop(msgspec.Struct, frozen=True):
-    """Tells the tasks of a process that a planned stop was asked for."""
+    """Tells the tasks of a process that a planned stop was requested."""
 
     event: anyio.Event
 
     @property
     def is_requested(self) -> bool:
-        """Whether the stop was asked for."""
+        """Whether the stop was requested."""
         return self.event.is_set()
 
 
@@ -53,18 +53,18 @@
 
 
 def make_command(
-    name: str, kind: type[SettingsT], main: Main, about: str
+    name: str, settings_type: type[SettingsT], main: Main, description: str
 ) -> click.Command:
     """Returns the command of a long-running program.
 
     Args:
-        name: The program's name.
-        kind: Its settings model.
-        main: Runs until the stop is asked for and what runs is finished.
-        about: Help text.
+        name: Name of the program.
+        settings_type: Model of its settings.
+        main: Runs until a stop is requested and the running work has ended.
+        description: Help text.
     """
 
-    @click.command(name=name, help=about + _EXIT_CODES)
+    @click.command(name=name, help=description + _EXIT_CODES)
     @click.version_option(ramptray.__version__)
     @click.option(
         "--settings",
@@ -75,7 +75,7 @@
     )
     def command(settings_file: pathlib.Path) -> None:
         try:
-            settings = parsing.read_model(settings_file, kind)
+            settings = parsing.read_model(settings_file, settings_type)
         except parsing.InvalidFileError as error:
             click.echo(str(error), err=True)
             sys.exit(EXIT_INVALID_INPUT)
@@ -83,43 +83,45 @@
         try:
             anyio.run(_run, main, settings)
         except* (OSError, ProcessError) as group:
-            for leaf in flatten(group):
+            for leaf in flatten_group(group):
                 LOG.critical("ended by an error", exc_info=leaf)
                 click.echo(f"{name}: {leaf}", err=True)
             sys.exit(EXIT_FAILED)
         except* Exception as group:
-            for leaf in flatten(group):
-                LOG.critical("ended by a mistake in the code", exc_info=leaf)
+            for leaf in flatten_group(group):
+                LOG.critical("ended by an unexpected exception", exc_info=leaf)
                 traceback.print_exception(leaf)
             sys.stdout.flush()
             sys.stderr.flush()
-            # Without the interpreter's own end: libraries complain there about
-            # the event loop that is gone, and hide the reason.
+            # Skips the interpreter's shutdown: libraries report there that the
+            # event loop is closed, which would hide the cause.
             os._exit(EXIT_FAILED)
 
     return command
 
 
-def flatten(group: BaseExceptionGroup[Any]) -> list[BaseException]:
-    """Returns the single errors of a group."""
+def flatten_group(group: BaseExceptionGroup[Any]) -> list[BaseException]:
+    """Returns all exceptions of a group and its nested groups."""
     return [
         leaf
         for error in group.exceptions
         for leaf in (
-            flatten(error) if isinstance(error, BaseExceptionGroup) else [error]
+            flatten_group(error)
+            if isinstance(error, BaseExceptionGroup)
+            else [error]
         )
     ]
 
 
 def configure_logging(program: str, level: str) -> None:
-    """Sends all logs to standard output as JSON lines."""
+    """Writes all logs to standard output as JSON lines."""
     handler = logsink.BoundedHandler(sys.stdout.fileno())
     formatter = json_logger.MsgspecFormatter(
         "%(asctime)s %(levelname)s %(name)s %(message)s",
         rename_fields={"asctime": "time", "levelname": "level"},
         static_fields={"program": program},
     )
-    # Lines of several VMs are compared, wherever the VMs stand.
+    # UTC, so that lines from VMs in different time zones can be compared.
     formatter.converter = time.gmtime
     handler.setFormatter(formatter)
     logging.basicConfig(level=level, handlers=[handler], force=True)
@@ -128,7 +130,7 @@
 
 
 def set_log_process(process: str) -> None:
-    """Has each further log line say which process wrote it."""
+    """Adds the name of the process to all further log lines."""
     for handler in logging.getLogger().handlers:
         if isinstance(handler.formatter, json_logger.MsgspecFormatter):
             handler.formatter.static_fields["process"] = process
@@ -139,17 +141,17 @@
     logsink.set_batch_schedule(asyncio.get_running_loop().call_soon)
     try:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_watch_signals, stop)
+            tasks.start_soon(_handle_signals, stop)
             await main(settings, stop)
             tasks.cancel_scope.cancel()
     finally:
         logsink.set_batch_schedule(None)
 
 
-async def _watch_signals(stop: Stop) -> None:
+async def _handle_signals(stop: Stop) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
-            logging.getLogger(__name__).info("planned stop asked for")
+            logging.getLogger(__name__).info("planned stop requested")
             stop.event.set()
 
 
--- a/ramptray/runtime.py
+++ b/ramptray/runtime.py
@@ -1,4 +1,4 @@
-"""What each of ramptray's own processes is equipped with."""
+"""Clock, time line and peer client that each ramptray process has."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class Runtime(msgspec.Struct, frozen=True):
-    """Clock, time line and channels of one process.
+    """Clock, time line and peer client of one process.
 
     Attributes:
-        name: The process's name among its peers.
-        clock: Its hybrid logical clock.
-        timeline: Its events.
-        client: Its channels to schedulers.
+        name: Name of the process among its peers.
+        clock: Hybrid logical clock.
+        timeline: Time line of the process's events.
+        client: Client for the links to schedulers.
     """
 
     name: str
@@ -30,11 +30,11 @@
 def make_runtime(
     program: str, settings: settings_module.ProcessSettings
 ) -> Runtime:
-    """Returns the equipment of a process.
+    """Returns the runtime of a process, made from its settings.
 
     Args:
-        program: Which program it is, in one word.
-        settings: Its settings.
+        program: Name of the program, in one word.
+        settings: Settings of the process.
     """
     return make_vm_runtime(
         program,
@@ -56,15 +56,15 @@
     tls: settings_module.TlsSettings | None = None,
     cut_file: str | None = None,
 ) -> Runtime:
-    """Returns the equipment of a process.
+    """Returns the runtime of a process.
 
     Args:
-        program: Which program it is, in one word.
-        vm: Name of its VM.
-        zone: Its availability zone.
-        log_events: Whether each event of the time line is also logged.
-        ring_events: Events of the time line that are kept.
-        tls: Keys for the channel between own processes; None for none.
+        program: Name of the program, in one word.
+        vm: Name of the process's VM.
+        zone: Availability zone of the VM.
+        log_events: Whether events of the time line are also logged.
+        ring_events: Number of time line events kept in memory.
+        tls: TLS keys for the links between processes; None for no TLS.
         cut_file: See ``settings.ProcessSettings``.
     """
     name = f"{program}/{vm}"
--- a/ramptray/settings.py
+++ b/ramptray/settings.py
@@ -1,4 +1,4 @@
-"""Settings of each program: JSON with comments, validated as a whole."""
+"""Settings of the programs: JSON with comments, validated against models."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 
 
 class TlsSettings(model.Model, frozen=True, kw_only=True):
-    """Mutual TLS between ramptray's own processes.
+    """Mutual TLS between ramptray processes.
 
     Attributes:
-        certificate_file: This process's certificate, PEM.
-        key_file: Its private key, PEM.
-        authority_file: Certificate of the authority that signs all peers.
+        certificate_file: Certificate of this process, PEM.
+        key_file: Private key of this process, PEM.
+        authority_file: Certificate of the authority that signs those of all
+            peers, PEM.
         server_name: Name that every peer's certificate carries.
     """
 
@@ -30,18 +31,18 @@
 
 
 class ProcessSettings(model.Model, frozen=True, kw_only=True):
-    """What every program needs to know of itself.
+    """Settings that all programs have.
 
     Attributes:
         vm: Name of the VM it runs on.
         zone: Availability zone of the VM.
-        listen: IP number and port it listens on.
-        log_level: Least level that is logged.
-        tls: Keys for the channel between own processes; None for none.
-        log_events: Whether each event of the time line is also logged.
-        ring_events: Events of the time line that are kept; 0 for none.
-        cut_file: For failure tests: a JSON list of addresses of own processes
-            that cannot be reached.
+        listen: IP address and port to listen on.
+        log_level: Lowest level that is logged.
+        tls: Keys for the links between processes; None for no TLS.
+        log_events: Whether events of the time line are also logged.
+        ring_events: Number of time line events kept in memory; 0 for none.
+        cut_file: For failure tests: file with a JSON list of addresses of
+            processes that are treated as unreachable.
     """
 
     vm: model.Name
@@ -55,14 +56,15 @@
 
 
 class CallerLimits(model.Model, frozen=True, kw_only=True):
-    """What one caller may ask of an entry's memory and patience.
+    """Limits that protect an entry from callers.
 
     Attributes:
-        body_bytes: Largest request body.
-        header_bytes: Largest request head.
-        requests: Requests served at a time.
-        body_s: Seconds in which a body must have arrived.
-        idle_write_s: Seconds a caller may leave its answer unread.
+        body_bytes: Largest request body, in bytes.
+        header_bytes: Largest request head, in bytes.
+        requests: Maximum number of concurrent requests.
+        body_s: Timeout for receiving a request body, in seconds.
+        idle_write_s: Longest time that a caller may leave its response unread,
+            in seconds.
     """
 
     body_bytes: Annotated[int, msgspec.Meta(ge=1024)] = 4 * 1024 * 1024
@@ -77,8 +79,9 @@
 
     Attributes:
         scheduler: Address of the scheduler on the same VM.
-        limits: Limits towards callers.
-        drain_s: Longest time a planned stop waits for what runs, in seconds.
+        limits: Limits for callers.
+        drain_s: Longest time that a planned stop waits for running requests, in
+            seconds.
     """
 
     scheduler: Address
@@ -91,10 +94,11 @@
 
     Attributes:
         platform: Base URL of the platform's services.
-        seeds: Schedulers to ask first, of this zone and of others.
-        trust: Who may sign the very first bundle.
-        policy: How engines are chosen; the baselines are for experiments.
-        report_every_s: Time between two load reports of an engine.
+        seeds: Schedulers to contact first, of this zone and of others.
+        trust: Operators that may sign the first bundle.
+        policy: Policy by which engines are chosen; the baselines are for
+            experiments.
+        report_every_s: Interval between load reports of an engine, in seconds.
     """
 
     platform: model.Url
@@ -110,7 +114,7 @@
     Attributes:
         scheduler: Address of the scheduler on the same VM.
         platform: Base URL of the platform's services.
-        order_timeout_s: Longest time an order may be on its way.
+        order_timeout_s: Timeout for sending an order, in seconds.
     """
 
     scheduler: Address
@@ -123,9 +127,9 @@
 
     Attributes:
         platform: Base URL of the platform's services.
-        schedulers: Some schedulers to ask, of every zone.
-        trust: Who may sign the very first bundle.
-        tls: Keys for the channel to the schedulers; None for none.
+        schedulers: Addresses of some schedulers in each zone.
+        trust: Operators that may sign the first bundle.
+        tls: Keys for the links to the schedulers; None for no TLS.
     """
 
     platform: model.Url
@@ -135,6 +139,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Returns IP number and port of an address."""
+    """Returns the IP address and the port of an address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/ramptray/steadyclock.py
+++ b/ramptray/steadyclock.py
@@ -1,23 +1,23 @@
-"""The clock by which ages, leases, limits and deadlines are measured.
+"""The clock for ages, leases, rate limits and deadlines.
 
-It never goes back, and it also counts the time for which the machine was
-suspended: after ten seconds away a belief is ten seconds older, whatever the
-event loop's own clock says.
+It never goes back and, unlike the event loop's clock, also counts the time for
+which the machine is suspended: data is ten seconds older after a suspension of
+ten seconds.
 """
 
 from __future__ import annotations
 
 import time
 
-_COUNTS_SUSPENSION = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Where a system has no such clock, suspension is not seen."""
+_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+"""On systems without CLOCK_BOOTTIME, suspensions are not counted."""
 
 
 def read() -> float:
-    """Returns seconds since some moment in the past."""
-    return time.clock_gettime(_COUNTS_SUSPENSION)
+    """Returns the seconds since an arbitrary point in the past."""
+    return time.clock_gettime(_CLOCK_ID)
 
 
 def read_monotonic() -> float:
-    """Returns the same without the time for which the machine was suspended."""
+    """Returns the same, less the time for which the machine was suspended."""
     return time.clock_gettime(time.CLOCK_MONOTONIC)
--- a/ramptray/timeline.py
+++ b/ramptray/timeline.py
@@ -1,4 +1,4 @@
-"""A bounded ring of typed events, ordered over processes by their clocks."""
+"""Ring buffer of events, ordered across processes by hybrid logical clocks."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 LOG = logging.getLogger(__name__)
 
 RING_EVENTS = 20_000
-"""Events a process keeps."""
+"""Default number of events that a process keeps."""
 
 
 class Timeline:
     """The latest events of one process.
 
     Args:
-        process: The process's name.
-        zone: Its zone.
-        hybrid_clock: Its clock.
-        log_events: Whether each event is also logged, so that the time line
-            can be built when the process is gone.
-        ring_events: How many events are kept; 0 for none.
+        process: Name of the process.
+        zone: Availability zone of the process.
+        hybrid_clock: Clock of the process.
+        log_events: Whether events are also logged, so that the time line can
+            be built after the process has ended.
+        ring_events: Number of events to keep; 0 for none.
     """
 
     def __init__(
@@ -45,12 +45,12 @@
         )
 
     def note(self, kind: str, subject: str, **details: Any) -> None:
-        """Keeps an event.
+        """Records an event.
 
         Args:
-            kind: What happened.
-            subject: The request, backend server or bundle it happened to.
-            **details: Further facts, JSON values.
+            kind: Type of the event.
+            subject: The request, backend server or bundle that it concerns.
+            **details: Further fields, JSON values.
         """
         if not self._ring.maxlen:
             return
@@ -60,19 +60,19 @@
             self._log(event)
 
     def _log(self, event: tuple[int, str, str, dict[str, Any]]) -> None:
-        described = self._describe(event)
+        described = self._to_dict(event)
         if not logsink.write_event(__name__, "event", described):
             LOG.info("event", extra={"event": described})
 
     def list_events(self, after: int, subject: str) -> list[dict[str, Any]]:
-        """Returns kept events later than a clock value, oldest first."""
+        """Returns the events of a subject after a clock value, oldest first."""
         newest_first = itertools.takewhile(
             lambda event: event[0] > after, reversed(self._ring)
         )
-        described = [self._describe(event) for event in newest_first]
+        described = [self._to_dict(event) for event in newest_first]
         return [e for e in reversed(described) if matches_subject(subject, e)]
 
-    def _describe(
+    def _to_dict(
         self, event: tuple[int, str, str, dict[str, Any]]
     ) -> dict[str, Any]:
         value, kind, subject, details = event
@@ -87,5 +87,5 @@
 
 
 def matches_subject(subject: str, event: dict[str, Any]) -> bool:
-    """Returns whether an event is about a subject; all are about none."""
+    """Returns whether an event is about a subject; an empty one matches all."""
     return not subject or subject in event.values()
--- a/ramptray/wallclock.py
+++ b/ramptray/wallclock.py
@@ -1,4 +1,4 @@
-"""The wall clock, as the hybrid logical clocks read it."""
+"""The wall clock, in the unit of the hybrid logical clocks."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def read() -> int:
-    """Returns the wall clock in microseconds."""
+    """Returns the Unix time in microseconds."""
     return time.time_ns() // 1000
--- a/ramptray/webserver.py
+++ b/ramptray/webserver.py
@@ -1,4 +1,4 @@
-"""Serves an ASGI application with uvicorn inside an anyio process."""
+"""Serves an ASGI application with uvicorn in an anyio event loop."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from ramptray import settings
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted."""
+"""Maximum number of connections that wait to be accepted."""
 
 
 class _Server(uvicorn.Server):
-    """Leaves signals to the process, which knows what a stop must wait for."""
+    """Leaves signals to the process, which waits for running work at a stop."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -24,10 +24,10 @@
 
 
 def bind(address: str) -> socket.socket:
-    """Returns a socket that is bound to the address and listens.
+    """Returns a socket that listens on the address.
 
     Raises:
-        OSError: The address cannot be had.
+        OSError: The address cannot be bound.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -40,11 +40,11 @@
     app: types.ASGIApp,
     header_bytes: int = 64 * 1024,
 ) -> uvicorn.Server:
-    """Returns a server; ``server.serve(sockets=[...])`` runs it.
+    """Returns a server, to be run by ``server.serve(sockets=[...])``.
 
     Args:
-        app: The application.
-        header_bytes: Largest request head.
+        app: ASGI application.
+        header_bytes: Largest request head, in bytes.
     """
     config = uvicorn.Config(
         app,
