--- a/ramptray/bundle/__init__.py
+++ b/ramptray/bundle/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' bundle: its model, its signatures and its checks."""
+"""The operators' bundle: models, signatures and validation."""
--- a/ramptray/bundle/acceptance.py
+++ b/ramptray/bundle/acceptance.py
@@ -1,8 +1,9 @@
-"""Which bundle is in force: a pure function of the log's records.
+"""Determines the bundle in force as a pure function of the log's records.
 
-Every reader of the same records reaches the same answer, so of two racing
-rollouts the one first in the log wins everywhere.  The log forgets old records,
-so readers also leave checkpoints: the bundle in force after an offset.
+All readers of the same records get the same result, so of two concurrent
+rollouts the one that comes first in the log wins on every VM.  The log discards
+old records, so readers also write checkpoints, which hold the bundle in force
+after an offset.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 
 
 class Rollout(msgspec.Struct, frozen=True):
-    """A record by which operators put a bundle in force."""
+    """A log record by which operators put a bundle in force."""
 
     envelope: signature.Envelope
 
 
 class Checkpoint(msgspec.Struct, frozen=True):
-    """A record of the bundle in force after reading up to an offset.
+    """A log record of the bundle in force after reading up to an offset.
 
     Attributes:
-        envelope: The bundle that was in force.
-        through_offset: The last offset that had been read.
+        envelope: The bundle in force at that offset.
+        through_offset: The last offset read.
     """
 
     envelope: signature.Envelope
@@ -34,13 +35,13 @@
 
 
 class DeltaRollout(msgspec.Struct, frozen=True):
-    """A rollout that carries only the difference to the bundle it replaces.
+    """A rollout that holds only the delta to the bundle it replaces.
 
     Attributes:
         base: Digest of the bundle it replaces.
-        digest: Digest of its own text.
-        delta: The difference, see ``delta``.
-        signatures: Signatures of the whole text.
+        digest: Digest of the full text.
+        delta: Delta to the base, see ``delta.make_delta``.
+        signatures: Signatures of the full text.
     """
 
     base: str
@@ -53,7 +54,7 @@
 
 
 class RolloutStatus(enum.Enum):
-    """What became of a rollout."""
+    """Result of applying a log record."""
 
     ACCEPTED = "accepted"
     REPEATED = "repeated"
@@ -65,7 +66,7 @@
 
 
 class InForce(msgspec.Struct, frozen=True):
-    """A bundle in force."""
+    """A bundle in force, with its signed text."""
 
     bundle: model.Bundle
     envelope: signature.Envelope
@@ -77,22 +78,22 @@
 
 
 class BundleTracker:
-    """Holds the bundle in force as told by peers; only ever moves up."""
+    """Tracks the bundle in force from peers; its generation never decreases."""
 
     def __init__(self) -> None:
         self.in_force: InForce | None = None
 
     def apply_peer_bundle(self, envelope: signature.Envelope) -> bool:
-        """Takes a bundle that is in force at a peer.
+        """Applies a bundle that is in force at a peer.
 
         Returns:
-            Whether the bundle in force has changed.
+            Whether the bundle in force changed.
         """
         candidate = _parse(envelope)
         return candidate is not None and self.advance_to(candidate)
 
     def advance_to(self, candidate: InForce) -> bool:
-        """Puts a bundle in force if it is newer than the present one."""
+        """Puts a bundle in force if it is newer than the current one."""
         current = self.in_force
         if current and candidate.generation <= current.generation:
             return False
@@ -101,10 +102,12 @@
 
 
 class RolloutLogTracker(BundleTracker):
-    """Follows the log of rollouts and never steps down.
+    """Tracks the bundle in force from the log of rollouts.
+
+    The generation in force never decreases.
 
     Args:
-        trust: Who may sign the first bundle.
+        trust: The operators that may sign the first bundle.
     """
 
     def __init__(self, trust: model.Operators) -> None:
@@ -113,99 +116,103 @@
         self.next_offset = 0
         self.statuses: dict[str, RolloutStatus] = {}
         self._log_view: InForce | None = None
-        self._first_retained = 0
-        # Records read while the history before them is unknown.
-        self._unjoined: list[tuple[int, Record]] | None = None
+        self._first_offset = 0
+        # Records held until a checkpoint supplies the history before them.
+        self._pending_records: list[tuple[int, Record]] | None = None
 
     @property
     def log_view(self) -> InForce | None:
-        """The bundle in force by the log alone, as far as it was read."""
+        """The bundle in force according to the records read, without peers."""
         return self._log_view
 
     @property
     def first_offset(self) -> int:
-        """The offset at which the history that was read begins."""
-        return self._first_retained
+        """The first offset of the contiguous history that was read."""
+        return self._first_offset
 
     def skip_to(self, offset: int) -> None:
-        """Notes that records before this offset are gone from the log."""
+        """Skips records that the log has discarded.
+
+        Args:
+            offset: The first offset that the log still holds.
+        """
         if offset <= self.next_offset:
             return
         self.next_offset = offset
-        self._first_retained = offset
+        self._first_offset = offset
         self._log_view = None
-        self._unjoined = []
+        self._pending_records = []
 
     def apply(self, offset: int, record: Record) -> RolloutStatus:
-        """Takes the next record of the log.
+        """Applies the next record of the log.
 
-        Records must be given in the order of their offsets.
+        Records must be passed in the order of their offsets.
         """
         if offset < self.next_offset:
             return RolloutStatus.REPEATED
         self.next_offset = offset + 1
-        if self._unjoined is not None:
-            return self._read_unjoined(offset, record)
+        if self._pending_records is not None:
+            return self._apply_pending(offset, record)
         if isinstance(record, Checkpoint):
             return RolloutStatus.CHECKPOINT
-        return self._judge_rollout(record)
+        return self._apply_rollout(record)
 
-    def _read_unjoined(self, offset: int, record: Record) -> RolloutStatus:
-        """Waits for a checkpoint that no missing record precedes.
+    def _apply_pending(self, offset: int, record: Record) -> RolloutStatus:
+        """Holds records until a checkpoint that covers the missing history.
 
-        The records after the offset that the checkpoint speaks for are then
-        judged anew, since one of them may have been accepted before the
-        checkpoint itself reached the log.
+        The records after the checkpoint's ``through_offset`` are then replayed,
+        since one of them may have been accepted before the checkpoint itself
+        reached the log.
         """
-        assert self._unjoined is not None
-        joined = (
+        assert self._pending_records is not None
+        covers_gap = (
             isinstance(record, Checkpoint)
-            and record.through_offset + 1 >= self._first_retained
+            and record.through_offset + 1 >= self._first_offset
         )
         candidate = (
             _parse(record.envelope)
-            if joined and isinstance(record, Checkpoint)
+            if covers_gap and isinstance(record, Checkpoint)
             else None
         )
         if not isinstance(record, Checkpoint) or candidate is None:
-            self._unjoined.append((offset, record))
+            self._pending_records.append((offset, record))
             return RolloutStatus.NO_HISTORY
-        replay = self._unjoined
-        self._unjoined = None
+        replay = self._pending_records
+        self._pending_records = None
         self._log_view = candidate
         self.advance_to(candidate)
-        for past, earlier in replay:
-            if isinstance(earlier, Checkpoint):
+        for replayed_offset, replayed in replay:
+            if isinstance(replayed, Checkpoint):
                 continue
-            if past > record.through_offset:
-                self._judge_rollout(earlier)
+            if replayed_offset > record.through_offset:
+                self._apply_rollout(replayed)
         return RolloutStatus.CHECKPOINT
 
-    def _judge_rollout(self, record: Rollout | DeltaRollout) -> RolloutStatus:
+    def _apply_rollout(self, record: Rollout | DeltaRollout) -> RolloutStatus:
         if isinstance(record, Rollout):
-            verdict = self._judge(record.envelope)
-            self.statuses[record.envelope.digest] = verdict
-            return verdict
-        verdict = self._judge_delta(record)
-        self.statuses[record.digest] = verdict
-        return verdict
-
-    def _judge_delta(self, record: DeltaRollout) -> RolloutStatus:
+            status = self._apply_envelope(record.envelope)
+            self.statuses[record.envelope.digest] = status
+            return status
+        status = self._apply_delta(record)
+        self.statuses[record.digest] = status
+        return status
+
+    def _apply_delta(self, record: DeltaRollout) -> RolloutStatus:
         view = self._log_view
         if view is not None and record.digest == view.envelope.digest:
             return RolloutStatus.REPEATED
         if view is None or record.base != view.envelope.digest:
             return RolloutStatus.WRONG_BASE
         try:
-            whole = delta.apply_delta(view.envelope.text, record.delta)
+            full_text = delta.apply_delta(view.envelope.text, record.delta)
         except delta.DeltaError:
             return RolloutStatus.INVALID
-        envelope = signature.Envelope(whole, record.signatures)
+        envelope = signature.Envelope(full_text, record.signatures)
         if envelope.digest != record.digest:
             return RolloutStatus.INVALID
-        return self._judge(envelope)
+        return self._apply_envelope(envelope)
 
-    def _judge(self, envelope: signature.Envelope) -> RolloutStatus:
+    def _apply_envelope(self, envelope: signature.Envelope) -> RolloutStatus:
         candidate = _parse(envelope)
         if candidate is None:
             return RolloutStatus.INVALID
@@ -214,12 +221,12 @@
             return RolloutStatus.REPEATED
         base = view.envelope.digest if view else None
         generation = view.generation + 1 if view else 1
-        follows = candidate.bundle.base == base
-        if not follows or candidate.generation != generation:
+        extends_base = candidate.bundle.base == base
+        if not extends_base or candidate.generation != generation:
             return RolloutStatus.WRONG_BASE
         operators = view.bundle.operators if view else self._trust
-        signed = signature.count_valid(envelope, operators.keys)
-        if signed < operators.signatures_required:
+        valid_signatures = signature.count_valid(envelope, operators.keys)
+        if valid_signatures < operators.signatures_required:
             return RolloutStatus.BAD_SIGNATURE
         self._log_view = candidate
         self.advance_to(candidate)
--- a/ramptray/bundle/delta.py
+++ b/ramptray/bundle/delta.py
@@ -1,7 +1,7 @@
-"""Differences between bundles, so that a change costs its own size only.
+"""Deltas between bundles, so that a small change makes a small log record.
 
-A difference is the new text compressed with the old one as dictionary.  What is
-signed stays the whole text, so acceptance is the same either way.
+A delta is the new text, compressed with the old text as dictionary.  Signatures
+cover the full text, so a delta is accepted under the same rules.
 """
 
 from __future__ import annotations
@@ -15,60 +15,64 @@
 
 
 class DeltaError(Exception):
-    """The bytes are not a difference to this base."""
+    """The bytes are not a delta to this base."""
 
 
 def make_delta(base: str, text: str) -> str:
-    """Returns what turns the base into the text, as base64."""
+    """Returns the delta from the base to the text, in base64."""
     return base64.b64encode(
         make_binary_delta(base.encode(), text.encode())
     ).decode()
 
 
-def make_binary_delta(known: bytes, new: bytes) -> bytes:
-    """Returns what turns the known bytes into the new ones.
+def make_binary_delta(base: bytes, target: bytes) -> bytes:
+    """Returns the delta from the base to the target.
 
     Args:
-        known: What the reader has; empty where it has nothing.
-        new: What it is to have.
+        base: The bytes that the receiver holds; may be empty.
+        target: The bytes that applying the delta produces.
     """
-    # The window must reach back over the whole base.
-    window = max(zstandard.WINDOWLOG_MIN, (len(known) + len(new)).bit_length())
-    # Long-distance matching would find less: 9.8 kB instead of 52 bytes for one
-    # changed route of 1,317.
+    # The window must cover the whole base.
+    window = max(
+        zstandard.WINDOWLOG_MIN, (len(base) + len(target)).bit_length()
+    )
+    # Long-distance matching stays off: it finds fewer matches.  For one changed
+    # route of 1,317 the delta is 9.8 kB with it and 52 bytes without.
     parameters = zstandard.ZstdCompressionParameters.from_level(
         COMPRESSION_LEVEL, window_log=window, write_content_size=True
     )
-    packer = zstandard.ZstdCompressor(
-        dict_data=_make_dictionary(known), compression_params=parameters
+    compressor = zstandard.ZstdCompressor(
+        dict_data=_make_dictionary(base), compression_params=parameters
     )
-    return packer.compress(new)
+    return compressor.compress(target)
 
 
 def apply_delta(base: str, delta: str) -> str:
-    """Returns the text that the difference makes of the base.
+    """Returns the text that results from applying the delta to the base.
 
     Raises:
-        DeltaError: It is no difference to this base.
+        DeltaError: It is not a delta to this base.
     """
     try:
-        packed = base64.b64decode(delta, validate=True)
-        return apply_binary_delta(base.encode(), packed).decode()
+        binary_delta = base64.b64decode(delta, validate=True)
+        return apply_binary_delta(base.encode(), binary_delta).decode()
     except ValueError as error:
         raise DeltaError(str(error)) from error
 
 
-def apply_binary_delta(known: bytes, packed: bytes) -> bytes:
-    """Returns the new bytes; see ``pack``.
+def apply_binary_delta(base: bytes, binary_delta: bytes) -> bytes:
+    """Returns the target of a delta made by ``make_binary_delta``.
 
     Raises:
-        DeltaError: The packed bytes do not follow from the known ones.
+        DeltaError: The bytes are not a delta to this base.
     """
-    unpacker = zstandard.ZstdDecompressor(
-        dict_data=_make_dictionary(known), max_window_size=MAX_TEXT_BYTES
+    decompressor = zstandard.ZstdDecompressor(
+        dict_data=_make_dictionary(base), max_window_size=MAX_TEXT_BYTES
     )
     try:
-        return unpacker.decompress(packed, max_output_size=MAX_TEXT_BYTES)
+        return decompressor.decompress(
+            binary_delta, max_output_size=MAX_TEXT_BYTES
+        )
     except zstandard.ZstdError as error:
         raise DeltaError(str(error)) from error
 
--- a/ramptray/bundle/model.py
+++ b/ramptray/bundle/model.py
@@ -1,7 +1,7 @@
-"""The bundle: what operators declare, as validated models.
+"""Models of the bundle, the configuration that operators sign.
 
-The bundle is JSON with comments.  Names of customers, tiers, services, engines
-and backend servers are the keys of its objects.
+The bundle is JSON with comments.  Customers, tiers, services, engines and
+backend servers are objects keyed by name.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 class Model(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Base of all models: unknown fields are mistakes.
+    """Base of all models; rejects unknown fields.
 
-    Only what is read is checked, by ``validation``; what the code makes itself
-    is not.
+    Only parsed data is validated, by ``validation``; objects that the code
+    constructs are not.
     """
 
 
 class Operators(Model, frozen=True, kw_only=True):
-    """Who may sign the next bundle.
+    """The operators that may sign the next bundle.
 
     Attributes:
-        keys: Operators' names and public keys.
-        signatures_required: How many of them must sign.
+        keys: Public keys by operator name.
+        signatures_required: Number of operators that must sign.
     """
 
     keys: Annotated[dict[Name, PublicKey], msgspec.Meta(min_length=1)]
@@ -53,12 +53,11 @@
 
 
 class Tier(Model, frozen=True, kw_only=True):
-    """A class of requests; the lowest order goes first.
+    """A priority class of requests.
 
     Attributes:
-        order: Place among the tiers, unique; the lowest is the most urgent.
-        deadline_s: Seconds after which an answer is of no use, unless the
-            request names its own deadline.
+        order: Unique rank among the tiers; the lowest is the most urgent.
+        deadline_s: Deadline of requests that name none, in seconds.
     """
 
     order: Count
@@ -66,23 +65,24 @@
 
 
 UNSIZED_TOKENS = 200
-"""Usual size of a request that does not give it, in tokens."""
+"""Default size of a request that does not state it, in tokens."""
 
 
 class Limits(Model, frozen=True, kw_only=True):
-    """A customer's limits for each service, over all zones.
+    """A customer's rate limits for each service, over all zones.
 
     Attributes:
-        requests_per_s: Requests a second.
-        tokens_per_s: Prompt tokens and four times the output tokens a second;
-            on a relayed route, prompt and output tokens.
+        requests_per_s: Requests per second.
+        tokens_per_s: Tokens per second: prompt tokens plus four times the
+            output tokens; on relayed routes, prompt plus output tokens.
         burst: Requests or tokens that may be used at once; None for two
-            seconds' worth of the rate.
-        span_s: Where a total is held over any span of some seconds instead of
-            rate and burst: the span; the rate then only names what is counted.
-        span_total: Most requests or tokens in any such span.
-        unsized_tokens: On relayed routes, tokens that a request without a
-            size counts.
+            seconds of the rate.
+        span_s: Length of a sliding window that limits the total instead of
+            rate and burst, in seconds; the rate then only says whether
+            requests or tokens are counted.
+        span_total: Maximum of requests or tokens in any such window.
+        unsized_tokens: On relayed routes, tokens counted for a request that
+            does not state its size.
     """
 
     requests_per_s: Annotated[float, msgspec.Meta(ge=1)] | None = None
@@ -94,17 +94,17 @@
 
 
 class Customer(Model, frozen=True, kw_only=True):
-    """A customer, known by the hashes of its keys.
+    """A customer, identified by the hashes of its bearer keys.
 
     Attributes:
         key_hashes: SHA-256 of each bearer key.
-        tiers: Tiers it may ask for; the first is used where it names none,
-            and for what it sends on relayed routes.
-        route_tiers: For some tiers of relayed routes, the tier that this
-            customer's requests have there instead.
+        tiers: Tiers it may request; the first is the default, also on relayed
+            routes.
+        route_tiers: Replacements for tiers of relayed routes, for this
+            customer's requests.
         share: Weight within a tier.
-        limits: Its limits.
-        regions: Regions whose backend servers may run what it sends on relayed
+        limits: Rate limits.
+        regions: Regions whose backend servers may run its requests on relayed
             routes; None for any.
     """
 
@@ -117,18 +117,18 @@
 
 
 class ServiceKind(enum.Enum):
-    """What stands behind a service."""
+    """Kind of the backend servers of a service."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class Legacy(Model, frozen=True, kw_only=True):
-    """The old script that still takes part of a service's requests.
+    """The legacy script that still serves some of a service's requests.
 
     Attributes:
-        url: Where the old script listens.
-        percent: Part of the requests that goes to it.
+        url: Base URL of the legacy script.
+        percent: Percentage of the requests that it serves.
     """
 
     url: Url
@@ -136,16 +136,19 @@
 
 
 class Service(Model, frozen=True, kw_only=True):
-    """A model or plain service that callers name.
+    """A model or plain service.
 
     Attributes:
-        kind: Whether model engines or plain servers stand behind it.
-        version: The model version that the engines are to have loaded.
-        queue_tokens: Cost that may wait in a zone before requests are shed.
-        headroom: Part of each engine's places kept for the highest tier.
-        shards: Into how many parts each zone divides the service.
-        repeatable_methods: Methods of a plain service that may be repeated.
-        legacy: The old script that still takes a share of the requests.
+        kind: Whether model engines or plain servers run its requests.
+        version: The model version that the engines load.
+        queue_tokens: Cost in tokens that may be queued in a zone before
+            requests are shed.
+        headroom: Fraction of each engine's slots reserved for the highest
+            tier.
+        shards: Number of shards of the service in each zone.
+        repeatable_methods: HTTP methods of a plain service that may be
+            retried.
+        legacy: The legacy script that still serves some of the requests.
     """
 
     kind: ServiceKind
@@ -163,13 +166,13 @@
     """A kind of engine.
 
     Attributes:
-        max_running: Requests it batches at a time.
+        max_running: Maximum number of requests in its batch.
         kv_tokens: Tokens that fit its KV memory.
-        cache_blocks: Prefix blocks of 64 tokens its cache keeps.
-        checks_fencing: Whether it refuses orders with an old fencing number.
-        tokens_per_event: Tokens that an event of a stream holds.
-        warm_up_per_s: Requests a second that it bears until it is warm; 0 where
-            it needs no warming up.
+        cache_blocks: Capacity of its prefix cache, in blocks of 64 tokens.
+        checks_fencing: Whether it rejects orders with an old fencing token.
+        tokens_per_event: Tokens in each event of a stream.
+        warm_up_per_s: Requests per second that it can take until it is warm; 0
+            if it needs no warm-up.
     """
 
     max_running: EngineSlots
@@ -184,20 +187,19 @@
     """A replica of a model or plain service.
 
     Attributes:
-        zone: The availability zone it stands in.
-        service: The service it works for.
+        zone: Its availability zone.
+        service: The service it belongs to.
         engine: Its kind of engine.
-        url: Where it listens.
-        leaving: Whether it is to get no new work.
-        role: The role that its engine is to have.
-        availability_zone: Where it stands, if ``zone`` spans several.
-        run: Which of its runs this is, where that is known: a larger
-            number is a later one, which knows nothing of those before.
-        warm_at: When it is warm, on the steady clock of the VM that holds the
-            bundle.
-        release: The release of its software; empty where that is not known.
-        region: The region of its availability zone; empty where that is not
-            known.
+        url: Its base URL.
+        leaving: Whether it gets no new requests.
+        role: The role assigned to its engine.
+        availability_zone: Its availability zone, if ``zone`` spans several.
+        run: Number of its current run, if known; a higher number is a later
+            run, which has no state of the earlier ones.
+        warm_at: Time at which it is warm, on the monotonic clock of the VM
+            that holds the bundle.
+        release: Release of its software; empty if not known.
+        region: Region of its availability zone; empty if not known.
     """
 
     zone: Name
@@ -206,7 +208,7 @@
     url: Url
     leaving: bool = False
     role: Name = "any"
-    # Only compared, never parsed: platforms name their zones as they like.
+    # Only compared, never parsed: each platform has its own zone names.
     availability_zone: str | None = None
     run: int = 0
     warm_at: float = 0.0
@@ -215,12 +217,12 @@
 
 
 class RouteKind(enum.Enum):
-    """How a relayed route's requests are answered, and whether they repeat.
+    """Kind of response of a relayed route, and whether requests may be retried.
 
     Attributes:
-        STREAM: A series of events; repeatable only where the route resumes.
-        SAFE: One answer; may run more than once.
-        ONCE: One answer; runs at most once.
+        STREAM: A stream of events; retried only if the route is resumable.
+        SAFE: One response; the request may run more than once.
+        ONCE: One response; the request runs at most once.
     """
 
     STREAM = "stream"
@@ -229,11 +231,11 @@
 
 
 class Target(Model, frozen=True, kw_only=True):
-    """A service that takes a share of a route's requests.
+    """A service that receives a share of a route's requests.
 
     Attributes:
         service: Name of the service.
-        weight: Its share, relative to those of the route's other targets.
+        weight: Its share, relative to the weights of the other targets.
     """
 
     service: Name
@@ -241,22 +243,25 @@
 
 
 class Route(Model, frozen=True, kw_only=True):
-    """Requests of one host and path prefix, relayed byte for byte.
+    """A route that relays requests of a host and path prefix byte for byte.
 
     Attributes:
-        host: The host that callers name.
-        path_prefix: What the path begins with; the longest prefix wins.
-        kind: How it is answered.
-        targets: The services that take its requests.
-        timeout_s: Longest time a request is held, in seconds.
-        objective_s: Time in which an answer, or its first event, is in time.
-        max_gap_s: Longest pause between events of an answer in time.
-        patience_s: How long callers wait for the beginning of an answer; None
-            for their deadline.
-        max_attempts: Backend servers that one request may be sent to.
-        tier: Tier of the requests of customers that have none of their own.
+        host: Host that requests name.
+        path_prefix: Prefix of the path; the longest match wins.
+        kind: Kind of response, and whether requests may be retried.
+        targets: The services that receive its requests.
+        timeout_s: Maximum time that a request is held, in seconds.
+        objective_s: Latency objective for the response, or for the first event
+            of a stream, in seconds.
+        max_gap_s: Maximum pause between the events of a stream that meets its
+            objective, in seconds.
+        patience_s: Time that callers wait for the start of a response, in
+            seconds; None for their deadline.
+        max_attempts: Maximum number of backend servers that one request is
+            sent to.
+        tier: Tier of requests of customers without a tier of their own.
         public: Whether requests need no key.
-        resumable: Whether a stream may go on at another backend server.
+        resumable: Whether a stream may resume at another backend server.
         regions: Regions whose backend servers may run its requests; None for
             any.
     """
@@ -277,13 +282,13 @@
 
 
 class RelayLimits(Model, frozen=True, kw_only=True):
-    """What a relayed caller may send, and how long it may take.
+    """Size and time limits of callers on relayed routes.
 
     Attributes:
-        header_bytes: Largest request head.
-        body_bytes: Largest request body.
-        header_s: Seconds in which a head must have arrived.
-        idle_s: Seconds that an idle connection is kept.
+        header_bytes: Maximum size of a request head, in bytes.
+        body_bytes: Maximum size of a request body, in bytes.
+        header_s: Timeout for receiving a request head, in seconds.
+        idle_s: Timeout of an idle connection, in seconds.
     """
 
     header_bytes: HeaderBytes = 16 * 1024
@@ -293,34 +298,35 @@
 
 
 class Weights(Model, frozen=True, kw_only=True):
-    """What the weight store can bear.
+    """Load limits of the weight store.
 
     Attributes:
-        loads_at_once: Engines of one zone that may load at a time.
+        loads_at_once: Engines of one zone that may load concurrently.
     """
 
     loads_at_once: PositiveInt = 2
 
 
 class Bundle(Model, frozen=True, kw_only=True, dict=True):
-    """All that operators declare.
+    """The complete configuration that operators sign.
 
     Attributes:
-        generation: One more than that of the bundle it replaces.
+        generation: Generation number, one more than that of the base.
         base: Digest of the bundle it replaces; None for the first.
-        operators: Who may sign the next bundle.
+        operators: Operators that may sign the next bundle.
         zones: Names of the availability zones.
-        tiers: Classes of requests, by name.
+        tiers: Priority classes of requests, by name.
         customers: Customers, by name.
-        services: Model and plain services, by the name that callers use.
+        services: Model and plain services, by the name used in requests.
         engines: Kinds of engine, by name.
-        backend_servers: Replicas, by name.
-        weights: What the weight store can bear.
-        claim_window_s: How old a key with a known age may be, in seconds;
-            less than the platform's log keeps its records.
+        backend_servers: Backend servers, by name.
+        weights: Load limits of the weight store.
+        claim_window_s: Maximum age of an idempotency key whose age is known,
+            in seconds; must be shorter than the retention of the platform's
+            log.
         routes: Relayed routes, by name.
-        relay: Limits towards relayed callers.
-        rollouts: Rollouts that operators have ordered, by service.
+        relay: Limits of callers on relayed routes.
+        rollouts: Rollouts ordered by operators, by service.
     """
 
     generation: PositiveInt
@@ -344,11 +350,11 @@
         return {name: rank for rank, name in enumerate(ordered)}
 
     def get_customer_by_key(self, key: str) -> str | None:
-        """Returns the name of the customer that holds this bearer key."""
-        return self._customers_by_hash.get(hash_key(key))
+        """Returns the name of the customer with this bearer key, if any."""
+        return self._customers_by_key_hash.get(hash_key(key))
 
     @functools.cached_property
-    def _customers_by_hash(self) -> dict[str, str]:
+    def _customers_by_key_hash(self) -> dict[str, str]:
         return {
             digest: name
             for name, customer in self.customers.items()
@@ -357,5 +363,5 @@
 
 
 def hash_key(key: str) -> str:
-    """Returns the form in which a customer's key stands in the bundle."""
+    """Returns the hash under which the bundle lists a customer's key."""
     return "sha256:" + hashlib.sha256(key.encode()).hexdigest()
--- a/ramptray/bundle/parsing.py
+++ b/ramptray/bundle/parsing.py
@@ -1,4 +1,4 @@
-"""Reads JSON with comments into validated models, naming every mistake."""
+"""Parses JSON with comments into models and reports all violations."""
 
 from __future__ import annotations
 
@@ -17,23 +17,32 @@
 
 
 class InvalidFileError(Exception):
-    """A settings or bundle file has mistakes that its author can mend."""
+    """A settings or bundle file cannot be read or does not match its model.
 
-    def __init__(self, file: str, mistakes: list[Violation]) -> None:
+    Attributes:
+        file: Path of the file.
+        violations: All violations found in it.
+    """
+
+    def __init__(self, file: str, violations: list[Violation]) -> None:
         self.file = file
-        self.mistakes = mistakes
-        super().__init__("\n".join(m.format(file) for m in mistakes))
+        self.violations = violations
+        super().__init__("\n".join(m.format(file) for m in violations))
 
 
 def parse_model(
     text: str, kind: type[ModelT]
 ) -> Result[ModelT, list[Violation]]:
-    """Parses JSON with comments and validates it, all mistakes at once."""
+    """Parses JSON with comments and validates it, reporting all violations."""
     try:
         data: Any = pyjson5.decode(text)
     except pyjson5.Json5Exception as error:
         return Err(
-            [Violation("", f"JSON with comments ({_locate(error, text)})")]
+            [
+                Violation(
+                    "", f"not valid JSON with comments ({_locate(error, text)})"
+                )
+            ]
         )
     return validation.convert(data, kind)
 
@@ -42,7 +51,7 @@
     """Reads and validates a file.
 
     Raises:
-        InvalidFileError: The file cannot be read or has mistakes.
+        InvalidFileError: The file cannot be read or is not valid.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -53,70 +62,73 @@
     match parse_model(text, kind):
         case Ok(value):
             return value
-        case Err(mistakes):
-            raise InvalidFileError(str(path), mistakes)
+        case Err(violations):
+            raise InvalidFileError(str(path), violations)
 
 
 def parse_bundle(text: str) -> Result[model.Bundle, list[Violation]]:
-    """Parses a bundle and checks that what it names exists."""
+    """Parses a bundle and checks its references between objects."""
     return parse_model(text, model.Bundle).and_then(_check_bundle)
 
 
 def _check_bundle(
     bundle: model.Bundle,
 ) -> Result[model.Bundle, list[Violation]]:
-    mistakes = [
+    violations = [
         *_check_tiers(bundle),
         *_check_customers(bundle),
         *_check_backend_servers(bundle),
         *_check_operators(bundle),
     ]
-    return Err(mistakes) if mistakes else Ok(bundle)
+    return Err(violations) if violations else Ok(bundle)
 
 
 def _check_tiers(bundle: model.Bundle) -> list[Violation]:
-    orders = collections.Counter(t.order for t in bundle.tiers.values())
+    order_counts = collections.Counter(t.order for t in bundle.tiers.values())
     return [
-        Violation(f"tiers.{name}.order", "an order that no other tier has")
+        Violation(
+            f"tiers.{name}.order", "the order must be unique among the tiers"
+        )
         for name, tier in bundle.tiers.items()
-        if orders[tier.order] > 1
+        if order_counts[tier.order] > 1
     ]
 
 
 def _check_customers(bundle: model.Bundle) -> list[Violation]:
-    unknown = [
-        Violation(f"customers.{name}.tiers.{i}", f"a tier, {tier!r} is none")
+    unknown_tiers = [
+        Violation(f"customers.{name}.tiers.{i}", f"unknown tier {tier!r}")
         for name, customer in bundle.customers.items()
         for i, tier in enumerate(customer.tiers)
         if tier not in bundle.tiers
     ]
-    uses = collections.Counter(
+    key_counts = collections.Counter(
         key for c in bundle.customers.values() for key in set(c.key_hashes)
     )
-    twice = [
+    shared_keys = [
         Violation(
-            f"customers.{name}.key_hashes.{i}", "a key no other customer has"
+            f"customers.{name}.key_hashes.{i}",
+            "the key must not belong to another customer",
         )
         for name, customer in bundle.customers.items()
         for i, key in enumerate(customer.key_hashes)
-        if uses[key] > 1
+        if key_counts[key] > 1
     ]
-    return unknown + twice
+    return unknown_tiers + shared_keys
 
 
 def _check_backend_servers(bundle: model.Bundle) -> list[Violation]:
-    kinds: list[tuple[str, str, Any]] = [
-        ("zone", "a zone", bundle.zones),
-        ("service", "a service", bundle.services),
-        ("engine", "an engine", bundle.engines),
+    references: list[tuple[str, Any]] = [
+        ("zone", bundle.zones),
+        ("service", bundle.services),
+        ("engine", bundle.engines),
     ]
     return [
         Violation(
             f"backend_servers.{name}.{field}",
-            f"{expected} of this bundle, {getattr(server, field)!r} is none",
+            f"unknown {field} {getattr(server, field)!r}",
         )
         for name, server in bundle.backend_servers.items()
-        for field, expected, known in kinds
+        for field, known in references
         if getattr(server, field) not in known
     ]
 
@@ -128,7 +140,7 @@
     return [
         Violation(
             "operators.signatures_required",
-            f"at most the number of keys, {len(operators.keys)}",
+            f"must not exceed the number of keys, {len(operators.keys)}",
         )
     ]
 
--- a/ramptray/bundle/record.py
+++ b/ramptray/bundle/record.py
@@ -1,4 +1,4 @@
-"""Records of bundles as they stand in the platform's log."""
+"""Encodes and decodes bundle records of the platform's log."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ramptray.bundle import acceptance, delta, signature
 
 STREAM = "bundles"
-"""Name of the stream that holds them."""
+"""Name of the log stream that holds bundle records."""
 
 
 def make_rollout(
@@ -19,20 +19,20 @@
 
     Args:
         envelope: The signed bundle.
-        base: The bundle it replaces, if that is known.
+        base: The bundle it replaces, if known.
     """
     if base is None:
         return acceptance.Rollout(envelope)
-    difference = delta.make_delta(base.text, envelope.text)
-    if len(difference) > len(envelope.text) // 2:
+    bundle_delta = delta.make_delta(base.text, envelope.text)
+    if len(bundle_delta) > len(envelope.text) // 2:
         return acceptance.Rollout(envelope)
     return acceptance.DeltaRollout(
-        base.digest, envelope.digest, difference, envelope.signatures
+        base.digest, envelope.digest, bundle_delta, envelope.signatures
     )
 
 
 def format_record(record: acceptance.Record) -> dict[str, Any]:
-    """Returns a record as it stands in the log."""
+    """Returns the JSON body under which a record is stored in the log."""
     if isinstance(record, acceptance.DeltaRollout):
         return msgspec.structs.asdict(record)
     body: dict[str, Any] = {
@@ -45,7 +45,7 @@
 
 
 def parse_record(body: dict[str, Any]) -> acceptance.Record | None:
-    """Returns the record that stands in the log, if it is one."""
+    """Returns the record of a JSON body, or None if it is not valid."""
     try:
         if "delta" in body:
             return msgspec.convert(body, acceptance.DeltaRollout)
--- a/ramptray/bundle/signature.py
+++ b/ramptray/bundle/signature.py
@@ -1,7 +1,8 @@
-"""Signed bundles: Ed25519 over the exact text that the operator saw.
+"""Signs bundles and verifies signatures: Ed25519 over the exact text.
 
-The library that signs is loaded by the first signature: VMs on a platform whose
-store takes changes from operators only see none, and start sooner without it.
+The cryptography library is imported on first use.  VMs on a platform whose
+store accepts changes from operators only never verify a signature, and start
+sooner without the import.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
     Attributes:
         text: JSON with comments, exactly as signed.
-        signatures: Operator name to signature in hex.
+        signatures: Signatures in hex, by operator name.
     """
 
     text: str
@@ -30,12 +31,12 @@
 
     @property
     def digest(self) -> str:
-        """Digest by which the next bundle names this one as its base."""
+        """Digest of the text; the next bundle names it as its base."""
         return "sha256:" + hashlib.sha256(self.text.encode()).hexdigest()
 
 
 def make_private_key() -> str:
-    """Returns a new private key in its text form."""
+    """Returns a new private key as text."""
     from cryptography.hazmat.primitives.asymmetric import ed25519
 
     private = ed25519.Ed25519PrivateKey.generate()
@@ -64,7 +65,7 @@
 
 
 def count_valid(envelope: Envelope, keys: dict[str, str]) -> int:
-    """Returns how many of these operators have signed the text."""
+    """Returns the number of operators with a valid signature of the text."""
     return sum(
         _verify(envelope.text, envelope.signatures.get(operator, ""), key)
         for operator, key in keys.items()
--- a/ramptray/bundle/validation.py
+++ b/ramptray/bundle/validation.py
@@ -1,4 +1,4 @@
-"""Checks plain data against a type, naming every mistake with its place."""
+"""Validates plain data against a type and reports all violations."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """One mistake in what a person or another program wrote.
+    """One violation in data that a person or another program wrote.
 
     Attributes:
-        path: Path to the field, dots between keys; empty for the whole.
-        expected: What was expected there.
-        found: What was found instead; empty where that is long.  It may hold a
-            secret, so it is shown to the file's author only, and never logged.
+        path: Path to the field, with dots between keys; empty for the root.
+        expected: The expected value.
+        found: The value found; empty for objects and lists.  It may hold a
+            secret, so it is shown to the file's author only and never logged.
     """
 
     path: str
@@ -29,7 +29,7 @@
     found: str = ""
 
     def format(self, file: str) -> str:
-        """Returns the line shown to the person."""
+        """Returns the line shown to the file's author."""
         shown = f" (found {self.found})" if self.found else ""
         return f"{file}: {self.path or '(whole file)'}: {self.expected}{shown}"
 
@@ -37,32 +37,32 @@
 def convert(
     data: Any, kind: type[T], strict: bool = True
 ) -> Result[T, list[Violation]]:
-    """Returns data as an object of a type, or all mistakes that it has.
+    """Returns data as an object of a type, or all its violations.
 
     Args:
         data: Plain data, as read from JSON or TOML.
         kind: The type.
-        strict: Whether a number as text is a mistake.
+        strict: Whether to reject numbers given as text.
     """
     try:
         return Ok(msgspec.convert(data, kind, strict=strict))
     except msgspec.ValidationError:
-        # The library names the first mistake only.
-        return Err(list(_iterate(data, kind, strict, "")))
+        # msgspec reports only the first violation.
+        return Err(list(_iterate_violations(data, kind, strict, "")))
 
 
-def format_violations(mistakes: list[Violation]) -> str:
-    """Returns all mistakes in one line for a log, each with its place."""
-    return "; ".join(f"{m.path}: {m.expected}" for m in mistakes)
+def format_violations(violations: list[Violation]) -> str:
+    """Returns all violations in one line for a log, each with its path."""
+    return "; ".join(f"{m.path}: {m.expected}" for m in violations)
 
 
-def _iterate(
+def _iterate_violations(
     data: Any, kind: Any, strict: bool, path: str
 ) -> Iterator[Violation]:
-    """Yields the mistakes in the parts, or else the one of the whole."""
-    parts = list(_iterate_parts(data, kind, strict, path))
-    if parts:
-        yield from parts
+    """Yields the violations of nested values, or else of the value itself."""
+    nested = list(_iterate_nested(data, kind, strict, path))
+    if nested:
+        yield from nested
         return
     try:
         msgspec.convert(data, kind, strict=strict)
@@ -71,24 +71,26 @@
         yield Violation(path, str(error), found)
 
 
-def _iterate_parts(
+def _iterate_nested(
     data: Any, kind: Any, strict: bool, path: str
 ) -> Iterator[Violation]:
-    bare = _strip(kind, data)
-    arguments = typing.get_args(bare)
-    if isinstance(bare, type) and issubclass(bare, msgspec.Struct):
+    plain_type = _resolve_type(kind, data)
+    arguments = typing.get_args(plain_type)
+    if isinstance(plain_type, type) and issubclass(plain_type, msgspec.Struct):
         if isinstance(data, dict):
-            yield from _iterate_fields(data, bare, strict, path)
-    elif typing.get_origin(bare) is list and isinstance(data, list):
+            yield from _iterate_fields(data, plain_type, strict, path)
+    elif typing.get_origin(plain_type) is list and isinstance(data, list):
         for number, item in enumerate(data):
-            place = _join(path, number)
-            yield from _iterate(item, arguments[0], strict, place)
-    elif typing.get_origin(bare) is dict and isinstance(data, dict):
+            item_path = _join(path, number)
+            yield from _iterate_violations(
+                item, arguments[0], strict, item_path
+            )
+    elif typing.get_origin(plain_type) is dict and isinstance(data, dict):
         for name, value in data.items():
-            place = _join(path, name)
+            item_path = _join(path, name)
             yield from itertools.chain(
-                _iterate(name, arguments[0], strict, place),
-                _iterate(value, arguments[1], strict, place),
+                _iterate_violations(name, arguments[0], strict, item_path),
+                _iterate_violations(value, arguments[1], strict, item_path),
             )
 
 
@@ -100,28 +102,30 @@
         field.encode_name: field for field in msgspec.structs.fields(kind)
     }
     for name, field in fields.items():
-        place = _join(path, name)
+        item_path = _join(path, name)
         if name in data:
-            yield from _iterate(data[name], hints[field.name], strict, place)
+            yield from _iterate_violations(
+                data[name], hints[field.name], strict, item_path
+            )
         elif field.required:
-            yield Violation(place, "a field that is needed")
+            yield Violation(item_path, "required field is missing")
     if kind.__struct_config__.forbid_unknown_fields:
         for name in data:
             if name not in fields:
-                yield Violation(_join(path, name), "no such field is known")
+                yield Violation(_join(path, name), "unknown field")
 
 
-def _strip(kind: Any, data: Any) -> Any:
-    """Returns the bare type that data is meant for.
+def _resolve_type(kind: Any, data: Any) -> Any:
+    """Returns the type that applies to data, without constraints.
 
-    Constraints are left out, and of a type that may also be None the other one
-    is taken.
+    For an optional type and data other than None, this is the type without
+    None.
     """
     if typing.get_origin(kind) is Annotated:
-        return _strip(typing.get_args(kind)[0], data)
+        return _resolve_type(typing.get_args(kind)[0], data)
     if typing.get_origin(kind) in (typing.Union, types.UnionType):
-        wanted = [k for k in typing.get_args(kind) if k is not type(None)]
-        return kind if data is None else _strip(wanted[0], data)
+        options = [k for k in typing.get_args(kind) if k is not type(None)]
+        return kind if data is None else _resolve_type(options[0], data)
     return kind
 
 
--- a/test/test_bundle.py
+++ b/test/test_bundle.py
@@ -1,4 +1,4 @@
-"""Bundles: mistakes, signatures, differences and checkpoints."""
+"""Tests validation, signatures, deltas and checkpoints of bundles."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 PUBLIC = {name: signature.get_public_key(key) for name, key in PRIVATE.items()}
 
 
-def make_body(generation: int, base: str | None, **more: Any) -> str:
+def make_bundle_text(generation: int, base: str | None, **fields: Any) -> str:
     body = {
         "generation": generation,
         "base": base,
@@ -36,83 +36,83 @@
         "engines": {"fast": {"max_running": 8}},
         "backend_servers": {},
     }
-    return json.dumps({**body, **more}, indent=1)
+    return json.dumps({**body, **fields}, indent=1)
 
 
-def make_signed(body: str, *operators: str) -> signature.Envelope:
-    envelope = signature.Envelope(body, {})
+def make_signed(text: str, *operators: str) -> signature.Envelope:
+    envelope = signature.Envelope(text, {})
     for operator in operators:
         envelope = signature.sign(envelope, operator, PRIVATE[operator])
     return envelope
 
 
-FIRST = make_signed(make_body(1, None), "anna", "bela")
+FIRST = make_signed(make_bundle_text(1, None), "anna", "bela")
 SECOND = make_signed(
-    make_body(2, FIRST.digest, claim_window_s=60), "anna", "bela"
+    make_bundle_text(2, FIRST.digest, claim_window_s=60), "anna", "bela"
 )
 
 
-def make_reader() -> acceptance.RolloutLogTracker:
+def make_tracker() -> acceptance.RolloutLogTracker:
     trust = model.Operators(keys=PUBLIC, signatures_required=2)
     return acceptance.RolloutLogTracker(trust)
 
 
-def test_a_small_change_is_a_small_record_and_is_accepted_alike() -> None:
+def test_small_change_makes_a_small_delta_that_is_accepted() -> None:
     record = bundle_record.make_rollout(SECOND, FIRST)
     assert isinstance(record, acceptance.DeltaRollout)
     body = bundle_record.format_record(record)
     assert len(json.dumps(body)) < len(SECOND.text) / 10
-    reader = make_reader()
-    reader.apply(0, acceptance.Rollout(FIRST))
+    tracker = make_tracker()
+    tracker.apply(0, acceptance.Rollout(FIRST))
     parsed = bundle_record.parse_record(body)
     assert parsed == record
-    assert reader.apply(1, parsed) is acceptance.RolloutStatus.ACCEPTED
-    assert reader.in_force is not None
-    assert reader.in_force.envelope == SECOND
+    assert tracker.apply(1, parsed) is acceptance.RolloutStatus.ACCEPTED
+    assert tracker.in_force is not None
+    assert tracker.in_force.envelope == SECOND
 
 
-def test_a_difference_to_another_base_is_refused() -> None:
+def test_delta_to_another_base_is_rejected() -> None:
     record = bundle_record.make_rollout(SECOND, FIRST)
     assert isinstance(record, acceptance.DeltaRollout)
-    reader = make_reader()
-    assert reader.apply(0, record) is acceptance.RolloutStatus.WRONG_BASE
-    reader.apply(1, acceptance.Rollout(FIRST))
+    tracker = make_tracker()
+    assert tracker.apply(0, record) is acceptance.RolloutStatus.WRONG_BASE
+    tracker.apply(1, acceptance.Rollout(FIRST))
     last = "1" if FIRST.digest.endswith("0") else "0"
     forged = msgspec.structs.replace(record, digest=FIRST.digest[:-1] + last)
-    assert reader.apply(2, forged) is acceptance.RolloutStatus.INVALID
+    assert tracker.apply(2, forged) is acceptance.RolloutStatus.INVALID
     broken = msgspec.structs.replace(record, delta="AAAA", digest="sha256:0")
-    assert reader.apply(3, broken) is acceptance.RolloutStatus.INVALID
+    assert tracker.apply(3, broken) is acceptance.RolloutStatus.INVALID
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.text(max_size=400), st.text(max_size=400))
-def test_a_difference_gives_back_the_text(base: str, changed: str) -> None:
+def test_delta_reproduces_the_text(base: str, changed: str) -> None:
     assert delta.apply_delta(base, delta.make_delta(base, changed)) == changed
 
 
-def test_too_few_signatures_are_refused() -> None:
-    reader = make_reader()
-    alone = make_signed(make_body(1, None), "anna")
-    verdict = reader.apply(0, acceptance.Rollout(alone))
-    assert verdict is acceptance.RolloutStatus.BAD_SIGNATURE
-    moved = msgspec.structs.replace(FIRST, text=FIRST.text + " ")
-    verdict = reader.apply(1, acceptance.Rollout(moved))
-    assert verdict is acceptance.RolloutStatus.BAD_SIGNATURE
-    assert reader.in_force is None
+def test_too_few_signatures_are_rejected() -> None:
+    tracker = make_tracker()
+    signed_by_one = make_signed(make_bundle_text(1, None), "anna")
+    status = tracker.apply(0, acceptance.Rollout(signed_by_one))
+    assert status is acceptance.RolloutStatus.BAD_SIGNATURE
+    altered = msgspec.structs.replace(FIRST, text=FIRST.text + " ")
+    status = tracker.apply(1, acceptance.Rollout(altered))
+    assert status is acceptance.RolloutStatus.BAD_SIGNATURE
+    assert tracker.in_force is None
 
 
-def test_differences_after_a_checkpoint_are_replayed() -> None:
+def test_deltas_after_a_checkpoint_are_replayed() -> None:
     record = bundle_record.make_rollout(SECOND, FIRST)
-    reader = make_reader()
-    reader.skip_to(5)
-    reader.apply(5, record)
-    assert reader.in_force is None
-    reader.apply(6, acceptance.Checkpoint(FIRST, 4))
-    assert reader.in_force is not None
-    assert reader.in_force.envelope == SECOND
+    tracker = make_tracker()
+    tracker.skip_to(5)
+    tracker.apply(5, record)
+    assert tracker.in_force is None
+    tracker.apply(6, acceptance.Checkpoint(FIRST, 4))
+    assert tracker.in_force is not None
+    assert tracker.in_force.envelope == SECOND
 
 
-def test_all_mistakes_are_shown_at_once_with_their_places() -> None:
+def test_all_violations_are_reported_with_their_paths() -> None:
     raw = """// a comment
     {"generation": 0, "operators": {"keys": {}}, "zones": ["Waw"],
      "tiers": {"a": {"order": 0, "deadline_s": -1}}, "surplus": 1,
@@ -120,8 +120,8 @@
     match parsing.parse_bundle(raw):
         case Ok(_):
             pytest.fail("accepted")
-        case Err(mistakes):
-            paths = {mistake.path for mistake in mistakes}
+        case Err(violations):
+            paths = {violation.path for violation in violations}
     assert paths == {
         "generation",
         "operators.keys",
@@ -186,11 +186,9 @@
         ),
     ],
 )
-def test_what_cannot_work_is_refused(
-    changes: dict[str, Any], path: str
-) -> None:
-    match parsing.parse_bundle(make_body(1, None, **changes)):
+def test_invalid_bundle_is_rejected(changes: dict[str, Any], path: str) -> None:
+    match parsing.parse_bundle(make_bundle_text(1, None, **changes)):
         case Ok(_):
             pytest.fail("accepted")
-        case Err(mistakes):
-            assert path in {mistake.path for mistake in mistakes}
+        case Err(violations):
+            assert path in {violation.path for violation in violations}
--- a/test/test_follower.py
+++ b/test/test_follower.py
@@ -56,7 +56,7 @@
 ) -> follower.BundleFollower:
     return follower.BundleFollower(
         log,
-        test_bundle.make_reader()._trust,
+        test_bundle.make_tracker()._trust,
         peer_link.PeerClient(clock.HybridClock(lambda: 0), None),
         random.Random(1),
         on_change,
