--- a/ramptray/caller/__init__.py
+++ b/ramptray/caller/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface that callers use."""
+"""The HTTP interface for callers."""
--- a/ramptray/caller/admission.py
+++ b/ramptray/caller/admission.py
@@ -1,4 +1,4 @@
-"""Bounds how many requests an entry serves at a time."""
+"""Limits the number of requests that an entry serves concurrently."""
 
 from __future__ import annotations
 
@@ -8,32 +8,35 @@
 from ramptray.core import message, request
 
 RETRY_AFTER_S = 1.0
+"""Delay that a refused caller is told to wait before a retry."""
 
-PROBES = frozenset({"/healthz", "/readyz", "/metrics"})
-"""Paths that are served however many requests there are."""
+UNLIMITED_PATHS = frozenset({"/healthz", "/readyz", "/metrics"})
+"""Paths of health probes and metrics, which the limit does not apply to."""
 
 
 class Admission:
-    """Refuses requests, in words, while too many are being served.
+    """ASGI middleware that rejects requests above a concurrency limit.
+
+    Rejected requests get a complete error response.
 
     Args:
-        app: The application that serves the others.
-        most: How many may be served at a time.
+        app: The application that serves the admitted requests.
+        max_concurrent: Maximum number of requests served concurrently.
     """
 
-    def __init__(self, app: types.ASGIApp, most: int) -> None:
+    def __init__(self, app: types.ASGIApp, max_concurrent: int) -> None:
         self._app = app
-        self._most = most
-        self._serving = 0
+        self._max_concurrent = max_concurrent
+        self._active = 0
 
     async def __call__(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
-        """Serves or refuses one request."""
-        if scope["type"] != "http" or scope["path"] in PROBES:
+        """Serves or rejects one request."""
+        if scope["type"] != "http" or scope["path"] in UNLIMITED_PATHS:
             await self._app(scope, receive, send)
             return
-        if self._serving >= self._most:
+        if self._active >= self._max_concurrent:
             finish = request.Finish(
                 message.Outcome.NOT_RUN,
                 message.Reason.OVERLOADED,
@@ -42,8 +45,8 @@
             response = refusal.make_response(finish, "")
             await response(scope, receive, send)
             return
-        self._serving += 1
+        self._active += 1
         try:
             await self._app(scope, receive, send)
         finally:
-            self._serving -= 1
+            self._active -= 1
--- a/ramptray/caller/app.py
+++ b/ramptray/caller/app.py
@@ -1,4 +1,4 @@
-"""The HTTP application that callers talk to."""
+"""The HTTP application for callers."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
 from ramptray.caller import (
     completion,
     intake,
-    metrics,
     plain,
     refusal,
     response_cache,
 )
+from ramptray.caller import metrics as caller_metrics
 from ramptray.caller import request as caller_request
 from ramptray.core import message, request
 from ramptray.engine import client as engine_client
 from ramptray.engine import event
-from ramptray.entry import dispatcher, exchange
+from ramptray.entry import dispatcher as entry_dispatcher
+from ramptray.entry import exchange
 from ramptray.service import client as service_client
 
 LOG = logging.getLogger(__name__)
@@ -38,32 +39,32 @@
 
 
 class CallerApp:
-    """Serves callers: completions, models, plain services and probes."""
+    """Serves completions, the list of models, plain services and probes."""
 
     def __init__(
         self,
         settings: settings_module.EntrySettings,
-        desk: dispatcher.Dispatcher,
+        dispatcher: entry_dispatcher.Dispatcher,
         client: engine_client.EngineClient,
         services: service_client.ServiceClient,
-        measures: metrics.Metrics,
-        tasks: anyio.abc.TaskGroup,
+        metrics: caller_metrics.Metrics,
+        task_group: anyio.abc.TaskGroup,
     ) -> None:
         self.stopping = False
         self._settings = settings
-        self._desk = desk
+        self._dispatcher = dispatcher
         self._client = client
-        self._metrics = measures
-        self._tasks = tasks
-        self._boot = secrets.token_hex(4)
+        self._metrics = metrics
+        self._task_group = task_group
+        self._instance_id = secrets.token_hex(4)
         self._numbers = itertools.count(1)
-        self._answers = response_cache.ResponseCache()
+        self._response_cache = response_cache.ResponseCache()
         self._plain = plain.PlainServices(
             settings,
-            desk,
+            dispatcher,
             services,
-            measures,
-            self._answers,
+            metrics,
+            self._response_cache,
             self._make_request_id,
         )
 
@@ -95,117 +96,121 @@
 
     async def _complete(self, http: requests.Request) -> responses.Response:
         match await intake.read_request(
-            http, self._desk, self._settings.limits
+            http, self._dispatcher, self._settings.limits
         ):
-            case Err(refused):
-                return refused
-            case Ok(taken):
+            case Err(error_response):
+                return error_response
+            case Ok(authenticated):
                 pass
-        match caller_request.parse_body(taken.body):
-            case Err(mistake):
-                return refusal.make_invalid_request_response(mistake)
-            case Ok(parsed):
+        match caller_request.parse_body(authenticated.body):
+            case Err(invalid_request):
+                return refusal.make_invalid_request_response(invalid_request)
+            case Ok(payload):
                 pass
         request_id = self._make_request_id()
         match caller_request.read_model_request(
-            taken.bundle,
+            authenticated.bundle,
             self._settings.zone,
-            taken.customer,
+            authenticated.customer,
             http.headers,
-            parsed,
-            completion.render_prompt(parsed),
+            payload,
+            completion.render_prompt(payload),
             request_id,
-            taken.body,
+            authenticated.body,
         ):
-            case Err(mistake):
-                return refusal.make_invalid_request_response(mistake)
-            case Ok(asked):
+            case Err(invalid_request):
+                return refusal.make_invalid_request_response(invalid_request)
+            case Ok(parsed_request):
                 pass
-        held = self._answers.find(asked.claim_request)
-        if held is not None:
-            return held.make_response()
-        return await self._exchange(http, asked, parsed)
+        cached = self._response_cache.find(parsed_request.claim_request)
+        if cached is not None:
+            return cached.make_response()
+        return await self._exchange(http, parsed_request, payload)
 
     async def _exchange(
         self,
         http: requests.Request,
-        asked: caller_request.ParsedRequest,
-        parsed: dict[str, Any],
+        parsed_request: caller_request.ParsedRequest,
+        payload: dict[str, Any],
     ) -> responses.Response:
-        wants_stream = bool(parsed.get("stream"))
-        sent = {**parsed, "stream": True}
-        ticket = self._desk.submit(asked.info, asked.claim_request)
-        served = exchange.Exchange(
+        wants_stream = bool(payload.get("stream"))
+        forwarded = {**payload, "stream": True}
+        ticket = self._dispatcher.submit(
+            parsed_request.info, parsed_request.claim_request
+        )
+        model_exchange = exchange.Exchange(
             ticket,
-            exchange.ModelCall(http.url.path, msgspec.json.encode(sent)),
+            exchange.ModelCall(http.url.path, msgspec.json.encode(forwarded)),
             self._client,
-            self._desk.backends.find_url,
+            self._dispatcher.backends.find_url,
             self._settings.limits.idle_write_s,
         )
-        self._tasks.start_soon(served.run)
-        watched = WatchedExchange(served, asked.info, self._metrics)
+        self._task_group.start_soon(model_exchange.run)
+        measured = MeasuredExchange(
+            model_exchange, parsed_request.info, self._metrics
+        )
         try:
-            first = await _receive_or_leave(http, served)
+            first = await _receive_or_disconnect(http, model_exchange)
         except anyio.get_cancelled_exc_class():
-            served.cancel()
+            model_exchange.cancel()
             raise
         if first is None:
             return responses.Response(status_code=499)
         if isinstance(first, request.Finish):
-            watched.count_end(first)
-            return refusal.make_response(first, served.request_id)
+            measured.count_end(first)
+            return refusal.make_response(first, model_exchange.request_id)
         if not wants_stream:
-            response = await self._answer_whole(http, watched, first)
+            response = await self._respond_complete(http, measured, first)
             if response.status_code == 200:
-                self._answers.put(asked.claim_request, response)
+                self._response_cache.put(parsed_request.claim_request, response)
             return response
         return responses.StreamingResponse(
-            watched.iterate(first),
+            measured.iterate(first),
             media_type="text/event-stream",
-            headers={"x-request-id": served.request_id},
+            headers={"x-request-id": model_exchange.request_id},
         )
 
-    async def _answer_whole(
+    async def _respond_complete(
         self,
         http: requests.Request,
-        watched: WatchedExchange,
+        measured: MeasuredExchange,
         first: event.Event,
     ) -> responses.Response:
         events = [first]
-        served = watched.served
-        watched.note(first)
+        model_exchange = measured.model_exchange
+        measured.record_event(first)
         while True:
             try:
-                item = await _receive_or_leave(http, served)
+                item = await _receive_or_disconnect(http, model_exchange)
             except anyio.get_cancelled_exc_class():
-                served.cancel()
+                model_exchange.cancel()
                 raise
             if item is None:
                 return responses.Response(status_code=499)
             if isinstance(item, request.Finish):
                 break
-            watched.note(item)
+            measured.record_event(item)
             events.append(item)
-        watched.count_end(item)
+        measured.count_end(item)
         if item.outcome is not message.Outcome.COMPLETE:
-            return refusal.make_response(item, served.request_id)
+            return refusal.make_response(item, model_exchange.request_id)
         return responses.JSONResponse(
             completion.assemble_completion(events),
-            headers={"x-request-id": served.request_id},
+            headers={"x-request-id": model_exchange.request_id},
         )
 
     def _make_request_id(self) -> str:
-        return f"{self._settings.vm}-{self._boot}-{next(self._numbers)}"
+        return f"{self._settings.vm}-{self._instance_id}-{next(self._numbers)}"
 
     async def _list_models(self, http: requests.Request) -> responses.Response:
-        match intake.authenticate(http, self._desk):
-            case Err(refused):
-                return refused
-            case Ok(taken):
+        match intake.authenticate(http, self._dispatcher):
+            case Err(error_response):
+                return error_response
+            case Ok(authenticated):
                 pass
         names = [
             name
-            for name, service in taken.bundle.services.items()
+            for name, service in authenticated.bundle.services.items()
             if service.kind is model.ServiceKind.MODEL
         ]
         return responses.JSONResponse(
@@ -227,7 +232,7 @@
         return responses.JSONResponse({"status": "ok"})
 
     async def _show_ready(self, http: requests.Request) -> responses.Response:
-        in_force = self._desk.in_force
+        in_force = self._dispatcher.in_force
         ready = in_force is not None and not self.stopping
         generation = in_force.generation if in_force else None
         return responses.JSONResponse(
@@ -239,79 +244,84 @@
         return responses.PlainTextResponse(self._metrics.format())
 
 
-class WatchedExchange:
-    """An exchange whose items are counted on their way to the caller."""
+class MeasuredExchange:
+    """An exchange whose events are recorded in the metrics."""
 
     def __init__(
         self,
-        served: exchange.Exchange,
+        model_exchange: exchange.Exchange,
         info: message.RequestInfo,
-        measures: metrics.Metrics,
+        metrics: caller_metrics.Metrics,
     ) -> None:
-        self.served = served
+        self.model_exchange = model_exchange
         self._tier = info.tier
-        self._metrics = measures
-        self._began = steadyclock.read()
-        self._last: float | None = None
+        self._metrics = metrics
+        self._started_at = steadyclock.read()
+        self._last_event_at: float | None = None
         self._tokens = 0
 
     async def iterate(self, first: event.Event) -> AsyncIterator[str]:
-        """Yields the answer as server-sent events."""
+        """Yields the response as server-sent events."""
         ended = False
         try:
-            self.note(first)
+            self.record_event(first)
             yield _format_event(first)
-            async for item in self.served.items:
+            async for item in self.model_exchange.items:
                 if isinstance(item, request.Finish):
                     ended = True
                     self.count_end(item)
                     yield self._format_end(item)
                     return
-                self.note(item)
+                self.record_event(item)
                 yield _format_event(item)
-            # Dropped, since the caller did not read: it may yet read this.
-            cut = request.Finish(
+            # The exchange was closed because the caller did not read; it may
+            # still read this final event.
+            finish = request.Finish(
                 message.Outcome.UNKNOWN, message.Reason.CALLER_GONE
             )
-            self.count_end(cut)
-            yield self._format_end(cut)
+            self.count_end(finish)
+            yield self._format_end(finish)
         finally:
             if not ended:
-                self.served.cancel()
+                self.model_exchange.cancel()
 
-    def note(self, item: event.Event) -> None:
-        """Measures one event."""
+    def record_event(self, item: event.Event) -> None:
+        """Records the latency of one event."""
         now = steadyclock.read()
-        if self._last is None:
-            self._metrics.record("first_token", self._tier, now - self._began)
+        if self._last_event_at is None:
+            self._metrics.record(
+                "first_token", self._tier, now - self._started_at
+            )
         else:
-            self._metrics.record("token_gap", self._tier, now - self._last)
-        self._last = now
+            self._metrics.record(
+                "token_gap", self._tier, now - self._last_event_at
+            )
+        self._last_event_at = now
         self._tokens += 1
 
     def count_end(self, finish: request.Finish) -> None:
-        """Counts the request's end."""
+        """Records the end of the request."""
         reason = finish.reason.value if finish.reason else ""
         self._metrics.count_end(self._tier, finish.outcome.value, reason)
         if finish.outcome is message.Outcome.COMPLETE:
             self._metrics.count_tokens(self._tier, self._tokens)
             self._metrics.record(
-                "answer", self._tier, steadyclock.read() - self._began
+                "answer", self._tier, steadyclock.read() - self._started_at
             )
 
     def _format_end(self, finish: request.Finish) -> str:
         if finish.outcome is message.Outcome.COMPLETE:
             return f"data: {event.END_DATA}\n\n"
-        return refusal.make_event(finish, self.served.request_id)
+        return refusal.make_event(finish, self.model_exchange.request_id)
 
 
-async def _receive_or_leave(
-    http: requests.Request, served: exchange.Exchange
+async def _receive_or_disconnect(
+    http: requests.Request, model_exchange: exchange.Exchange
 ) -> exchange.Item | None:
-    """Returns the next item, or None if the caller goes away first."""
+    """Returns the next item, or None if the caller disconnects first."""
     result: exchange.Item | None = None
 
-    async def watch(scope: anyio.CancelScope) -> None:
+    async def watch_for_disconnect(scope: anyio.CancelScope) -> None:
         while True:
             received = await http.receive()
             if received["type"] == "http.disconnect":
@@ -319,14 +329,14 @@
                 return
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(watch, tasks.cancel_scope)
+        tasks.start_soon(watch_for_disconnect, tasks.cancel_scope)
         try:
-            result = await served.items.receive()
+            result = await model_exchange.items.receive()
         except anyio.EndOfStream:
             result = None
         tasks.cancel_scope.cancel()
     if result is None:
-        served.cancel()
+        model_exchange.cancel()
     return result
 
 
--- a/ramptray/caller/completion.py
+++ b/ramptray/caller/completion.py
@@ -1,4 +1,4 @@
-"""Builds a whole answer from the engine's stream of chunks."""
+"""Assembles a completion from an engine's stream of chunks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def assemble_completion(events: list[event.Event]) -> dict[str, Any]:
-    """Returns the answer that the chunks make up."""
+    """Returns the completion whose chunks are the data of the events."""
     chunks = [msgspec.json.decode(e.data) for e in events if not e.is_end]
     first, last = chunks[0], chunks[-1]
     is_chat = first.get("object") == "chat.completion.chunk"
@@ -34,16 +34,16 @@
     }
 
 
-def render_prompt(parsed: dict[str, Any]) -> str:
-    """Returns the text of a request's prompt, for sizes and prefixes."""
-    messages = parsed.get("messages")
+def render_prompt(payload: dict[str, Any]) -> str:
+    """Returns the text of a request's prompt, for token counts and prefixes."""
+    messages = payload.get("messages")
     if isinstance(messages, list):
         return "".join(
             f"{m.get('role')}: {m.get('content')}\n"
             for m in messages
             if isinstance(m, dict)
         )
-    prompt = parsed.get("prompt", "")
+    prompt = payload.get("prompt", "")
     return prompt if isinstance(prompt, str) else "".join(map(str, prompt))
 
 
--- a/ramptray/caller/intake.py
+++ b/ramptray/caller/intake.py
@@ -1,4 +1,4 @@
-"""What every request goes through first: bundle, customer and body."""
+"""First steps of every request: bundle, authentication and body."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from ramptray.caller import refusal
 from ramptray.caller import request as caller_request
 from ramptray.core import message, request
-from ramptray.entry import dispatcher
+from ramptray.entry import dispatcher as entry_dispatcher
 
 RETRY_AFTER_S = 1.0
+"""Delay that a caller is told to wait while there is no bundle."""
 
 
 class AuthenticatedRequest(msgspec.Struct, frozen=True):
-    """A request whose sender and body are known.
+    """A request with its customer and body.
 
     Attributes:
         bundle: The bundle in force.
-        customer: The customer that sent it.
-        body: Its body.
+        customer: The customer whose key the request carries.
+        body: The request body; empty until it is read.
     """
 
     bundle: model.Bundle
@@ -33,34 +34,42 @@
 
 async def read_request(
     http: requests.Request,
-    desk: dispatcher.Dispatcher,
+    dispatcher: entry_dispatcher.Dispatcher,
     limits: settings_module.CallerLimits,
 ) -> Result[AuthenticatedRequest, responses.Response]:
-    """Returns a request that can be looked at, or the answer to give."""
-    match authenticate(http, desk):
-        case Err(refused):
-            return Err(refused)
-        case Ok(intake):
+    """Authenticates a request and reads its body.
+
+    Returns:
+        The request, or the error response to send.
+    """
+    match authenticate(http, dispatcher):
+        case Err(error_response):
+            return Err(error_response)
+        case Ok(authenticated):
             pass
     body = await _read_body(http, limits)
     if isinstance(body, caller_request.InvalidRequest):
         return Err(refusal.make_invalid_request_response(body))
-    return Ok(msgspec.structs.replace(intake, body=body))
+    return Ok(msgspec.structs.replace(authenticated, body=body))
 
 
 def authenticate(
-    http: requests.Request, desk: dispatcher.Dispatcher
+    http: requests.Request, dispatcher: entry_dispatcher.Dispatcher
 ) -> Result[AuthenticatedRequest, responses.Response]:
-    """Returns a request with its customer and no body yet."""
-    if desk.in_force is None:
+    """Authenticates a request, without reading its body.
+
+    Returns:
+        The request, or the error response to send.
+    """
+    if dispatcher.in_force is None:
         finish = request.Finish(
             message.Outcome.NOT_RUN, message.Reason.NOT_READY, RETRY_AFTER_S
         )
         return Err(refusal.make_response(finish, ""))
-    bundle = desk.in_force.bundle
+    bundle = dispatcher.in_force.bundle
     match caller_request.find_customer(bundle, http.headers):
-        case Err(mistake):
-            return Err(refusal.make_invalid_request_response(mistake))
+        case Err(invalid_request):
+            return Err(refusal.make_invalid_request_response(invalid_request))
         case Ok(customer):
             return Ok(AuthenticatedRequest(bundle, customer, b""))
 
@@ -68,18 +77,18 @@
 async def _read_body(
     http: requests.Request, limits: settings_module.CallerLimits
 ) -> bytes | caller_request.InvalidRequest:
-    """Returns a request's body, or why it is not taken."""
-    parts: list[bytes] = []
+    """Returns the body of a request, or why the request is invalid."""
+    chunks: list[bytes] = []
     size = 0
     try:
         with anyio.fail_after(limits.body_s):
-            async for part in http.stream():
-                size += len(part)
+            async for chunk in http.stream():
+                size += len(chunk)
                 if size > limits.body_bytes:
                     text = f"body: at most {limits.body_bytes} bytes"
                     return caller_request.InvalidRequest(413, "too_large", text)
-                parts.append(part)
+                chunks.append(chunk)
     except TimeoutError:
         text = f"body: expected within {limits.body_s} s"
         return caller_request.InvalidRequest(408, "too_slow", text)
-    return b"".join(parts)
+    return b"".join(chunks)
--- a/ramptray/caller/metrics.py
+++ b/ramptray/caller/metrics.py
@@ -1,4 +1,4 @@
-"""What an entry measures of its callers' requests."""
+"""Metrics of the requests of an entry's callers."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 import msgspec
 from hdrh import histogram
 
-HIGHEST_US = 3_600_000_000
-DIGITS = 3
+MAX_DURATION_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 3
 _QUANTILES = (50.0, 95.0, 99.0)
 
 
 class Gauge(msgspec.Struct, frozen=True):
-    """A value that is measured when the metrics are asked for.
+    """A value that is read when the metrics are scraped.
 
     Attributes:
-        name: Its name without the product's prefix.
-        labels: What tells it apart from others of its name.
-        value: The value, in the unit that the name ends with.
+        name: Name without the product's prefix.
+        labels: Labels.
+        value: Value, in the unit that the name ends with.
     """
 
     name: str
@@ -38,24 +38,24 @@
         self._histograms: dict[tuple[str, str], histogram.HdrHistogram] = {}
 
     def count_end(self, tier: str, outcome: str, reason: str) -> None:
-        """Counts a request that has ended."""
+        """Counts a finished request."""
         self._ended[tier, outcome, reason] += 1
 
     def count_tokens(self, tier: str, tokens: int) -> None:
-        """Counts output tokens of whole answers."""
+        """Counts the output tokens of a complete response."""
         self._tokens[tier] += tokens
 
     def record(self, name: str, tier: str, seconds: float) -> None:
-        """Records a duration."""
+        """Records a duration in the histogram of this name and tier."""
         key = (name, tier)
         if key not in self._histograms:
             self._histograms[key] = histogram.HdrHistogram(
-                1, HIGHEST_US, DIGITS
+                1, MAX_DURATION_US, SIGNIFICANT_DIGITS
             )
         self._histograms[key].record_value(max(1, int(seconds * 1e6)))
 
     def format(self) -> str:
-        """Returns all measures in the Prometheus text format."""
+        """Returns all metrics in the Prometheus text format."""
         return "\n".join(self._iterate_lines()) + "\n"
 
     def _iterate_lines(self) -> Iterator[str]:
@@ -71,15 +71,17 @@
             yield from self._iterate_summary(name)
 
     def _iterate_summary(self, name: str) -> Iterator[str]:
-        for (kind, tier), found in sorted(self._histograms.items()):
-            if kind != name:
+        for (histogram_name, tier), durations in sorted(
+            self._histograms.items()
+        ):
+            if histogram_name != name:
                 continue
             metric = f"ramptray_{name}_seconds"
             for quantile in _QUANTILES:
-                value = found.get_value_at_percentile(quantile) / 1e6
+                value = durations.get_value_at_percentile(quantile) / 1e6
                 labels = f'tier="{tier}",quantile="{quantile / 100}"'
                 yield f"{metric}{{{labels}}} {value}"
-            count = found.get_total_count()
+            count = durations.get_total_count()
             yield f'{metric}_count{{tier="{tier}"}} {count}'
 
 
--- a/ramptray/caller/refusal.py
+++ b/ramptray/caller/refusal.py
@@ -1,4 +1,4 @@
-"""Refusals: what a caller is told when it gets no whole answer."""
+"""Builds error responses for requests without a complete response."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 def make_response(
     finish: request.Finish, request_id: str
 ) -> responses.Response:
-    """Returns the HTTP answer of a request that got no answer."""
+    """Returns the HTTP response to a request that failed."""
     assert finish.reason is not None
     headers = {"x-request-id": request_id}
     if finish.retry_after_s > 0:
@@ -47,13 +47,13 @@
 
 
 def make_event(finish: request.Finish, request_id: str) -> str:
-    """Returns the event that ends a stream which was cut."""
+    """Returns the server-sent event that ends an incomplete stream."""
     data = msgspec.json.encode(make_body(finish, request_id)).decode()
     return f"event: error\ndata: {data}\n\n"
 
 
 def make_body(finish: request.Finish, request_id: str) -> dict[str, Any]:
-    """Returns a refusal in the form that OpenAI clients read."""
+    """Returns an error body in the format of the OpenAI API."""
     reason = finish.reason.value if finish.reason else "unknown"
     return {
         "error": {
@@ -69,18 +69,18 @@
 
 
 def make_invalid_request_response(
-    mistake: caller_request.InvalidRequest,
+    invalid_request: caller_request.InvalidRequest,
 ) -> responses.JSONResponse:
-    """Returns the answer to a request that is itself at fault."""
+    """Returns the HTTP response to an invalid request."""
     return responses.JSONResponse(
         {
             "error": {
-                "message": mistake.text,
+                "message": invalid_request.text,
                 "type": "invalid_request_error",
-                "code": mistake.code,
-                "outcome": mistake.outcome.value,
-                "reason": mistake.code,
+                "code": invalid_request.code,
+                "outcome": invalid_request.outcome.value,
+                "reason": invalid_request.code,
             }
         },
-        status_code=mistake.status,
+        status_code=invalid_request.status,
     )
--- a/ramptray/caller/request.py
+++ b/ramptray/caller/request.py
@@ -1,4 +1,4 @@
-"""Reads what a caller asks for: customer, tier, deadline and sizes."""
+"""Parses callers' requests: customer, tier, deadline and sizes."""
 
 from __future__ import annotations
 
@@ -19,19 +19,21 @@
 DEADLINE_HEADER = "x-ramptray-deadline-s"
 KEY_HEADER = "idempotency-key"
 MAX_KEY_CHARS = 200
-UUID_WITH_TIME = 7
-"""Version of the UUIDs that begin with the time of their making."""
+TIMESTAMPED_UUID_VERSION = 7
+"""Version of UUIDs that begin with their creation time."""
 
 UUID_TIME_SHIFT = 80
-"""Bits of a UUID that follow its 48 bits of milliseconds."""
+"""Number of bits after the 48 bits of milliseconds in such a UUID."""
 
 DEFAULT_OUTPUT_TOKENS = 256
+"""Output tokens assumed for a request without a limit."""
+
 PLAIN_COST_TOKENS = 16
-"""What a call to a plain service counts as, in tokens."""
+"""Cost of a call to a plain service, in tokens."""
 
 
 class InvalidRequest(msgspec.Struct, frozen=True):
-    """Why a request cannot be taken as it is."""
+    """Reason for which a request is rejected as invalid."""
 
     status: int
     code: str
@@ -40,11 +42,12 @@
 
 
 class ParsedRequest(msgspec.Struct, frozen=True):
-    """A request that can be taken.
+    """A valid request.
 
     Attributes:
-        info: What the scheduler is told.
-        wish: What is to be claimed first, if anything.
+        info: What the scheduler needs to know of the request.
+        claim_request: The claim to make first, if the request has an
+            idempotency key.
     """
 
     info: message.RequestInfo
@@ -66,7 +69,7 @@
 def parse_body(
     body: bytes,
 ) -> Result[dict[str, Any], InvalidRequest]:
-    """Returns the body of a completion request."""
+    """Parses the body of a completion request."""
     try:
         parsed = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
@@ -75,9 +78,11 @@
         return Err(
             InvalidRequest(400, "invalid_json", "body: expected an object")
         )
-    asked = parsed.get("max_tokens", parsed.get("max_completion_tokens"))
-    if asked is not None and (not isinstance(asked, int) or asked < 1):
-        text = f"max_tokens: expected a positive number, found {asked!r}"
+    max_tokens = parsed.get("max_tokens", parsed.get("max_completion_tokens"))
+    if max_tokens is not None and (
+        not isinstance(max_tokens, int) or max_tokens < 1
+    ):
+        text = f"max_tokens: expected a positive number, found {max_tokens!r}"
         return Err(InvalidRequest(400, "invalid_value", text))
     return Ok(parsed)
 
@@ -92,26 +97,30 @@
     request_id: str,
     body: bytes,
 ) -> Result[ParsedRequest, InvalidRequest]:
-    """Returns the facts of a completion request."""
+    """Parses a completion request."""
     service = parsed.get("model")
-    known = bundle.services.get(service) if isinstance(service, str) else None
-    if known is None or known.kind is not model.ServiceKind.MODEL:
+    definition = (
+        bundle.services.get(service) if isinstance(service, str) else None
+    )
+    if definition is None or definition.kind is not model.ServiceKind.MODEL:
         text = f"model: {service!r} is not a model service"
         return Err(
             InvalidRequest(404, message.Reason.UNKNOWN_SERVICE.value, text)
         )
-    asked = parsed.get("max_tokens", parsed.get("max_completion_tokens"))
+    max_tokens = parsed.get("max_tokens", parsed.get("max_completion_tokens"))
     blocks = prefix.hash_blocks(prompt)
     seed = str(blocks[0]) if blocks else customer
     info = message.RequestInfo(
         request_id,
         message.ShardKey(
-            zone, str(service), membership.get_shard_number(seed, known.shards)
+            zone,
+            str(service),
+            membership.get_shard_number(seed, definition.shards),
         ),
         customer,
         tier="",
         prompt_tokens=prefix.count_tokens(prompt),
-        output_tokens=asked or DEFAULT_OUTPUT_TOKENS,
+        output_tokens=max_tokens or DEFAULT_OUTPUT_TOKENS,
         prefix=blocks,
         deadline_s=0.0,
     )
@@ -127,9 +136,9 @@
     request_id: str,
     body: bytes,
 ) -> Result[ParsedRequest, InvalidRequest]:
-    """Returns the facts of a call to a plain service."""
-    known = bundle.services.get(service)
-    if known is None or known.kind is not model.ServiceKind.PLAIN:
+    """Parses a call to a plain service."""
+    definition = bundle.services.get(service)
+    if definition is None or definition.kind is not model.ServiceKind.PLAIN:
         text = f"{service!r} is not a plain service"
         return Err(
             InvalidRequest(404, message.Reason.UNKNOWN_SERVICE.value, text)
@@ -137,7 +146,9 @@
     info = message.RequestInfo(
         request_id,
         message.ShardKey(
-            zone, service, membership.get_shard_number(request_id, known.shards)
+            zone,
+            service,
+            membership.get_shard_number(request_id, definition.shards),
         ),
         customer,
         tier="",
@@ -160,7 +171,7 @@
     if tier not in allowed:
         text = f"{TIER_HEADER}: {tier!r} is not one of {allowed}"
         return Err(InvalidRequest(403, "tier_not_allowed", text))
-    deadline_s = _read_deadline(headers, bundle.tiers[tier].deadline_s)
+    deadline_s = _parse_deadline(headers, bundle.tiers[tier].deadline_s)
     if deadline_s is None:
         text = f"{DEADLINE_HEADER}: expected a positive number of seconds"
         return Err(InvalidRequest(400, "invalid_value", text))
@@ -175,35 +186,39 @@
         text = f"{KEY_HEADER}: older than {bundle.claim_window_s:g} s"
         reason = message.Reason.KEY_EXPIRED.value
         return Err(InvalidRequest(409, reason, text, message.Outcome.UNKNOWN))
-    return Ok(ParsedRequest(info, _make_wish(info, key, body)))
+    return Ok(ParsedRequest(info, _make_claim_request(info, key, body)))
 
 
 def _is_expired(key: str, window_s: float) -> bool:
-    """Returns whether a key that carries its time of making is too old."""
+    """Returns whether a key with a known creation time is too old.
+
+    Only UUIDs of version 7 carry their creation time; others never expire
+    here.
+    """
     try:
         parsed = uuid.UUID(key)
     except ValueError:
         return False
-    if parsed.version != UUID_WITH_TIME:
+    if parsed.version != TIMESTAMPED_UUID_VERSION:
         return False
-    made_ms = parsed.int >> UUID_TIME_SHIFT
-    return wallclock.read() / 1000 - made_ms > window_s * 1000
+    created_ms = parsed.int >> UUID_TIME_SHIFT
+    return wallclock.read() / 1000 - created_ms > window_s * 1000
 
 
-def _read_deadline(
+def _parse_deadline(
     headers: Mapping[str, str], default_s: float
 ) -> float | None:
-    given = headers.get(DEADLINE_HEADER)
-    if given is None:
+    value = headers.get(DEADLINE_HEADER)
+    if value is None:
         return default_s
     try:
-        seconds = float(given)
+        seconds = float(value)
     except ValueError:
         return None
     return seconds if 0 < seconds <= 86400 else None
 
 
-def _make_wish(
+def _make_claim_request(
     info: message.RequestInfo, key: str, body: bytes
 ) -> tickets.ClaimRequest:
     name = f"{info.customer}\n{info.shard.service}\n{key}"
--- a/ramptray/caller/response_cache.py
+++ b/ramptray/caller/response_cache.py
@@ -1,4 +1,4 @@
-"""Answers that an entry still holds for callers that ask again by key."""
+"""Caches responses for callers that retry with the same idempotency key."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 from ramptray.entry import ticket as tickets
 
-MAX_BYTES = 16 * 1024 * 1024
-"""Bytes of answers that an entry holds."""
+MAX_TOTAL_BYTES = 16 * 1024 * 1024
+"""Maximum size of all cached responses, in bytes."""
 
-MAX_ANSWER_BYTES = 256 * 1024
-"""Answers larger than this are not held."""
+MAX_RESPONSE_BYTES = 256 * 1024
+"""Maximum size of a cached response, in bytes."""
 
 REPLAYED_HEADER = "x-ramptray-replayed"
 
 
 class CachedResponse(msgspec.Struct, frozen=True):
-    """A whole answer to a request with an idempotency key.
+    """A complete response to a request with an idempotency key.
 
     Attributes:
-        digest: Digest of the request's body.
+        digest: Digest of the request body.
         status: HTTP status.
-        headers: Headers that are sent again.
-        body: The answer's body.
+        headers: Response headers.
+        body: Response body.
     """
 
     digest: str
@@ -34,48 +34,54 @@
     body: bytes
 
     def make_response(self) -> responses.Response:
-        """Returns the answer once more."""
+        """Returns the response, marked as a replay."""
         headers = {**self.headers, REPLAYED_HEADER: "true"}
         return responses.Response(self.body, self.status, headers)
 
 
 class ResponseCache:
-    """The latest answers by key, within a bound of memory."""
+    """Caches the latest responses by idempotency key, up to a total size."""
 
-    def __init__(self, max_bytes: int = MAX_BYTES) -> None:
+    def __init__(self, max_bytes: int = MAX_TOTAL_BYTES) -> None:
         self._max_bytes = max_bytes
-        self._held: collections.OrderedDict[str, CachedResponse] = (
+        self._cached: collections.OrderedDict[str, CachedResponse] = (
             collections.OrderedDict()
         )
-        self._bytes = 0
+        self._total_bytes = 0
 
     def put(
         self,
-        wish: tickets.ClaimRequest | None,
+        claim_request: tickets.ClaimRequest | None,
         response: responses.Response,
     ) -> None:
-        """Holds the answer to a request with a key, if it is small enough."""
-        if wish is None or wish.key in self._held:
+        """Caches the response to a request with a key, if not too large."""
+        if claim_request is None or claim_request.key in self._cached:
             return
         body = bytes(response.body)
-        if len(body) > MAX_ANSWER_BYTES:
+        if len(body) > MAX_RESPONSE_BYTES:
             return
         headers = {
             name: value
             for name, value in response.headers.items()
             if name != "content-length"
         }
-        self._held[wish.key] = CachedResponse(
-            wish.digest, response.status_code, headers, body
+        self._cached[claim_request.key] = CachedResponse(
+            claim_request.digest, response.status_code, headers, body
         )
-        self._bytes += len(body)
-        while self._bytes > self._max_bytes:
-            _, dropped = self._held.popitem(last=False)
-            self._bytes -= len(dropped.body)
-
-    def find(self, wish: tickets.ClaimRequest | None) -> CachedResponse | None:
-        """Returns the answer to the same request, if it is still held."""
-        held = self._held.get(wish.key) if wish else None
-        if held is None or wish is None or held.digest != wish.digest:
+        self._total_bytes += len(body)
+        while self._total_bytes > self._max_bytes:
+            _, evicted = self._cached.popitem(last=False)
+            self._total_bytes -= len(evicted.body)
+
+    def find(
+        self, claim_request: tickets.ClaimRequest | None
+    ) -> CachedResponse | None:
+        """Returns the cached response to the same request, if any."""
+        cached = self._cached.get(claim_request.key) if claim_request else None
+        if (
+            cached is None
+            or claim_request is None
+            or cached.digest != claim_request.digest
+        ):
             return None
-        return held
+        return cached
--- a/test/test_stream.py
+++ b/test/test_stream.py
@@ -41,7 +41,7 @@
     info = message.RequestInfo(
         "r", message.ShardKey("z", "s"), "c", "t", 1, 1, (), 9.0
     )
-    watched = app.WatchedExchange(
+    watched = app.MeasuredExchange(
         cast(exchange.Exchange, served), info, metrics.Metrics()
     )
     first = event.Event(1, "first")
