--- a/ramptray/engine/__init__.py
+++ b/ramptray/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The client side of the model engines' HTTP protocol."""
+"""Client of the model engines' HTTP protocol."""
--- a/ramptray/engine/client.py
+++ b/ramptray/engine/client.py
@@ -1,4 +1,4 @@
-"""Client of a model engine: dispatch, resume, cancel and load reports."""
+"""HTTP client of model engines: dispatch, resume, cancel and load reports."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from ramptray import httperror
 from ramptray.engine import event
 
-CONNECT_S = 1.0
-"""Longest time to open a connection, in seconds."""
+CONNECT_TIMEOUT_S = 1.0
+"""Timeout for opening a connection, in seconds."""
 
-SILENCE_S = 20.0
-"""Longest silence of a stream before it counts as broken, in seconds."""
+READ_TIMEOUT_S = 20.0
+"""Maximum time without data before a stream counts as broken, in seconds."""
 
-QUERY_S = 2.0
-"""Longest time for a small query, in seconds."""
+QUERY_TIMEOUT_S = 2.0
+"""Timeout of a short query, in seconds."""
 
-STREAMS_PER_BACKEND = 512
+MAX_STREAMS_PER_BACKEND = 512
+"""Maximum number of connections to a backend server."""
 
-
-AnswerT = TypeVar("AnswerT")
+ResponseT = TypeVar("ResponseT")
 
 
 class EngineError(Exception):
-    """Base of the errors of a backend server."""
+    """Base of the errors of the engine client."""
 
 
 class NotSentError(EngineError):
@@ -37,11 +37,11 @@
 
 
 class RefusedError(EngineError):
-    """The engine answered that it did not admit the request.
+    """The engine did not admit the request.
 
     Attributes:
-        status: HTTP status of the answer.
-        body: Its body.
+        status: HTTP status of the response.
+        body: Body of the response.
     """
 
     def __init__(self, status: int, body: bytes) -> None:
@@ -55,18 +55,18 @@
 
 
 class UnknownStreamError(EngineError):
-    """The engine does not know the stream (any more)."""
+    """The engine does not know the stream, or no longer does."""
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """An engine's lagging word on itself.
+    """The load that an engine reports, which lags behind its real load.
 
     Attributes:
         running: Requests in its batch.
-        waiting: Requests in its own queue.
-        leaving: Whether it says that it is leaving.
+        waiting: Requests in its queue.
+        leaving: Whether it reports that it is leaving.
         versions: Loaded model versions, as ``service@version``.
-        step_s: Its present time between tokens, in seconds.
+        step_s: Current time between tokens, in seconds.
     """
 
     running: int
@@ -77,12 +77,12 @@
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """Changes of an engine's prefix cache, late and with gaps.
+    """Changes of an engine's prefix cache; may be late and incomplete.
 
     Attributes:
-        next: Number from which to ask the next time.
-        stored: Blocks it has computed.
-        removed: Blocks it has evicted.
+        next: Event number to start the next fetch from.
+        stored: Hashes of the blocks stored.
+        removed: Hashes of the blocks evicted.
     """
 
     next: int
@@ -91,7 +91,7 @@
 
 
 class EngineClient:
-    """Talks to all backend servers of one process."""
+    """Sends the requests of one process to its backend servers."""
 
     def __init__(self) -> None:
         self._pools: dict[str, httpcore.AsyncConnectionPool] = {}
@@ -105,7 +105,7 @@
         body: bytes,
         version: str = "",
     ) -> AsyncIterator[AsyncIterator[event.Event]]:
-        """Sends a request, once, and yields its stream of events.
+        """Sends a request once and yields its stream of events.
 
         Raises:
             NotSentError: No byte was sent.
@@ -129,10 +129,10 @@
     async def resume(
         self, url: str, request_id: str, after: int
     ) -> AsyncIterator[AsyncIterator[event.Event]]:
-        """Reads a stream on after an event.
+        """Resumes a stream after an event.
 
         Raises:
-            NotSentError: The engine cannot be reached now.
+            NotSentError: The engine cannot be reached.
             GoneError: The engine does not know the stream.
             BrokenError: The connection broke again.
         """
@@ -148,7 +148,7 @@
         """Cancels a stream.
 
         Raises:
-            EngineError: There is no answer.
+            EngineError: The engine did not respond.
         """
         await self._query("DELETE", url, f"/v1/streams/{request_id}")
 
@@ -156,15 +156,15 @@
         """Returns the engine's load report.
 
         Raises:
-            EngineError: There is no good answer.
+            EngineError: There is no valid response.
         """
         return _convert(await self._query("GET", url, "/load"), LoadReport)
 
     async def fetch_cache_events(self, url: str, after: int) -> CacheEvents:
-        """Returns the changes of the prefix cache since a number.
+        """Returns the changes of the prefix cache since an event number.
 
         Raises:
-            EngineError: There is no good answer.
+            EngineError: There is no valid response.
         """
         path = f"/cache/events?after={after}"
         return _convert(await self._query("GET", url, path), CacheEvents)
@@ -172,10 +172,10 @@
     async def query(
         self, method: str, url: str, path: str, body: Any = None
     ) -> Any:
-        """Sends a small JSON query and returns its answer.
+        """Sends a short JSON query and returns the response body.
 
         Raises:
-            EngineError: There is no good answer.
+            EngineError: There is no valid response.
         """
         return await self._query(method, url, path, body)
 
@@ -190,7 +190,7 @@
     ) -> Any:
         content = None if body is None else msgspec.json.encode(body)
         try:
-            with anyio.fail_after(QUERY_S):
+            with anyio.fail_after(QUERY_TIMEOUT_S):
                 async with self._open(
                     method, url, path, content=content
                 ) as response:
@@ -208,7 +208,11 @@
     async def _open(
         self, method: str, url: str, path: str, **options: Any
     ) -> AsyncIterator[httpcore.Response]:
-        timeouts = {"connect": CONNECT_S, "pool": CONNECT_S, "read": SILENCE_S}
+        timeouts = {
+            "connect": CONNECT_TIMEOUT_S,
+            "pool": CONNECT_TIMEOUT_S,
+            "read": READ_TIMEOUT_S,
+        }
         with httperror.turn_errors(url, NotSentError, BrokenError):
             async with self._get_pool(url).stream(
                 method,
@@ -221,7 +225,7 @@
     def _get_pool(self, url: str) -> httpcore.AsyncConnectionPool:
         if url not in self._pools:
             self._pools[url] = httpcore.AsyncConnectionPool(
-                max_connections=STREAMS_PER_BACKEND,
+                max_connections=MAX_STREAMS_PER_BACKEND,
                 max_keepalive_connections=8,
                 keepalive_expiry=5.0,
             )
@@ -237,12 +241,12 @@
 ) -> AsyncIterator[event.Event]:
     splitter = event.EventSplitter()
     async for data in response.aiter_stream():
-        for found in splitter.feed(data):
-            yield found
+        for parsed_event in splitter.feed(data):
+            yield parsed_event
 
 
-def _convert(answer: Any, kind: type[AnswerT]) -> AnswerT:
+def _convert(body: Any, kind: type[ResponseT]) -> ResponseT:
     try:
-        return msgspec.convert(answer, kind)
+        return msgspec.convert(body, kind)
     except msgspec.ValidationError as error:
-        raise BrokenError(f"answer not understood: {error}") from error
+        raise BrokenError(f"invalid response: {error}") from error
--- a/ramptray/engine/event.py
+++ b/ramptray/engine/event.py
@@ -1,19 +1,19 @@
-"""Splits an engine's answer into server-sent events."""
+"""Parses an engine's response into server-sent events."""
 
 from __future__ import annotations
 
 import msgspec
 
 END_DATA = "[DONE]"
-"""Data of the event that marks the end of a whole answer."""
+"""Data of the event that ends a complete response."""
 
 
 class Event(msgspec.Struct, frozen=True):
     """One server-sent event.
 
     Attributes:
-        number: The event's id, counted from 1 within its stream.
-        data: The event's data.
+        number: Id of the event, counted from 1 within its stream.
+        data: Data of the event.
     """
 
     number: int
@@ -21,20 +21,20 @@
 
     @property
     def is_end(self) -> bool:
-        """Whether this is the end marker of the answer."""
+        """Whether this event ends the response."""
         return self.data == END_DATA
 
 
 class EventSplitter:
-    """Collects bytes and returns the whole events among them."""
+    """Buffers bytes and returns the complete events in them."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> list[Event]:
         """Returns the events that these bytes complete."""
-        *whole, self._rest = (self._rest + data).split(b"\n\n")
-        return [_parse(block.decode("utf-8", "replace")) for block in whole]
+        *blocks, self._buffer = (self._buffer + data).split(b"\n\n")
+        return [_parse(block.decode("utf-8", "replace")) for block in blocks]
 
 
 def _parse(block: str) -> Event:
--- a/ramptray/engine/orders.py
+++ b/ramptray/engine/orders.py
@@ -1,4 +1,4 @@
-"""Client of the engines' interface for orders."""
+"""Client of the engines' API for orders."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class OrderRefusedError(client.EngineError):
-    """The engine refused an order, since its fencing number is old."""
+    """The engine rejected an order because its fencing token is old."""
 
 
-class _State(msgspec.Struct):
+class _StateResponse(msgspec.Struct):
     versions: list[str]
     loading: list[str]
     role: str
@@ -23,20 +23,20 @@
 
 
 class OrderClient:
-    """Asks engines for their state and gives them orders."""
+    """Fetches the state of engines and sends them orders."""
 
     def __init__(self, engines: client.EngineClient) -> None:
         self._engines = engines
 
     async def fetch_state(self, url: str) -> engine_orders.EngineState:
-        """Returns what an engine says of itself.
+        """Returns the state that an engine reports.
 
         Raises:
-            client.EngineError: There is no good answer.
+            client.EngineError: There is no valid response.
         """
-        answer: Any = await self._engines.query("GET", url, "/orders")
+        body: Any = await self._engines.query("GET", url, "/orders")
         try:
-            state = msgspec.convert(answer, _State)
+            state = msgspec.convert(body, _StateResponse)
         except msgspec.ValidationError as error:
             raise client.BrokenError(f"{url}/orders: {error}") from error
         return engine_orders.EngineState(
@@ -47,23 +47,24 @@
         )
 
     async def send(
-        self, url: str, order: engine_orders.Order, fencing: int
+        self, url: str, order: engine_orders.Order, fencing_token: int
     ) -> None:
-        """Gives an order.
+        """Sends an order.
 
         Args:
-            url: Where the engine listens.
-            order: What to do.
-            fencing: Offset of the lease under which the order is given.
+            url: Base URL of the engine.
+            order: The order.
+            fencing_token: Log offset of the lease under which it is sent.
 
         Raises:
-            OrderRefusedError: The engine knows a newer fencing number.
-            client.EngineError: There is no answer; it may have taken effect.
+            OrderRefusedError: The engine has seen a newer fencing token.
+            client.EngineError: There is no response; the order may have taken
+                effect.
         """
         body = {
             "order": order.kind.value,
             "argument": order.argument,
-            "fencing": fencing,
+            "fencing": fencing_token,
         }
         try:
             await self._engines.query("POST", url, "/orders", body)
--- a/ramptray/service/__init__.py
+++ b/ramptray/service/__init__.py
@@ -1,1 +1,1 @@
-"""The client side of plain services behind ramptray."""
+"""Client of plain services behind ramptray."""
--- a/ramptray/service/client.py
+++ b/ramptray/service/client.py
@@ -1,4 +1,4 @@
-"""Client of plain services and of the old scripts: one call, sent once."""
+"""HTTP client of plain services and legacy scripts; sends each call once."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from ramptray import httperror
 
-READ_S = 60.0
-CONNECT_S = 1.0
+READ_TIMEOUT_S = 60.0
+CONNECT_TIMEOUT_S = 1.0
 
 
 class ServiceError(Exception):
-    """Base of the errors of a plain service."""
+    """Base of the errors of the service client."""
 
 
 class NotSentError(ServiceError):
@@ -28,9 +28,9 @@
 
     Attributes:
         method: HTTP method.
-        target: Path and query, from the service's root.
-        headers: Headers that are passed on.
-        body: The body.
+        target: Path and query, relative to the service's base URL.
+        headers: Request headers.
+        body: Request body.
     """
 
     method: str
@@ -40,7 +40,7 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """A whole answer of a plain service."""
+    """A complete response of a plain service."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -56,16 +56,16 @@
         )
 
     async def call(self, url: str, call: Call) -> Response:
-        """Sends the call once and returns the whole answer.
+        """Sends the call once and returns the complete response.
 
         Raises:
             NotSentError: No byte was sent.
             BrokenError: The call may have run.
         """
         timeouts = {
-            "connect": CONNECT_S,
-            "pool": CONNECT_S,
-            "read": READ_S,
+            "connect": CONNECT_TIMEOUT_S,
+            "pool": CONNECT_TIMEOUT_S,
+            "read": READ_TIMEOUT_S,
         }
         with httperror.turn_errors(url, NotSentError, BrokenError):
             response = await self._pool.request(
