--- a/test/test_conformance.py
+++ b/test/test_conformance.py
@@ -1,4 +1,4 @@
-"""ramptray's own objects, driven along the traces of the specifications."""
+"""Replays the traces of the specifications on ramptray's own state machines."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
     name, _, argument = label.partition(" ")
     match name:
         case "receive":
-            made = message.Grant("r", argument, "b", argument[0])
-            return machine.receive_grant(made)
+            grant = message.Grant("r", argument, "b", argument[0])
+            return machine.receive_grant(grant)
         case "move":
-            other = "B" if machine.owner == "A" else "A"
-            return machine.assign(other, INFO)
+            new_owner = "B" if machine.owner == "A" else "A"
+            return machine.assign(new_owner, INFO)
         case "refuse":
             return machine.fail_connect()
         case "give_up":
@@ -61,9 +61,9 @@
             for label in trace
             for effect in apply_grant_step(machine, label)
         ]
-        ends = [e for e in effects if isinstance(e, request.Finish)]
+        finishes = [e for e in effects if isinstance(e, request.Finish)]
         assert machine.state is PHASES[state.phase], trace
-        assert [e.outcome.value for e in ends] == (
+        assert [e.outcome.value for e in finishes] == (
             [state.said] if state.said else []
         ), trace
     assert count > 500
@@ -100,13 +100,13 @@
 
 
 def make_envelopes() -> dict[str, signature.Envelope]:
-    """Returns the specification's bundles, signed."""
-    made: dict[str, signature.Envelope] = {}
+    """Returns the signed bundles that the specification names by letter."""
+    envelopes: dict[str, signature.Envelope] = {}
     generations = {"a": 1, "b": 2, "c": 2, "d": 3}
     for letter, base in spec_bundle.BASES.items():
         body = {
             "generation": generations[letter],
-            "base": made[base].digest if base else None,
+            "base": envelopes[base].digest if base else None,
             "operators": {"keys": {"anna": PUBLIC}},
             "zones": ["z"],
             "tiers": {letter: {"order": 0, "deadline_s": 1}},
@@ -116,38 +116,38 @@
             "backend_servers": {},
         }
         envelope = signature.Envelope(json.dumps(body), {})
-        made[letter] = signature.sign(envelope, "anna", PRIVATE)
-    return made
+        envelopes[letter] = signature.sign(envelope, "anna", PRIVATE)
+    return envelopes
 
 
-def drive_reader(
+def replay_bundle_trace(
     trace: tuple[str, ...], envelopes: dict[str, signature.Envelope]
 ) -> acceptance.RolloutLogTracker:
-    """Drives a reader along a trace of the specification."""
-    reader = acceptance.RolloutLogTracker(TRUST)
+    """Replays a trace of the specification on a new log tracker."""
+    tracker = acceptance.RolloutLogTracker(TRUST)
     log: list[str] = []
-    first = place = 0
+    first_retained = next_offset = 0
     for label in trace:
         name, _, argument = label.partition(" ")
         match name:
             case "publish" | "land":
                 log.append(argument)
             case "forget":
-                first += 1
+                first_retained += 1
             case "start" | "skip":
-                place = first
-                reader.skip_to(first)
+                next_offset = first_retained
+                tracker.skip_to(first_retained)
             case "read":
-                record = log[place]
+                record = log[next_offset]
                 envelope = envelopes[record[0]]
-                reader.apply(
-                    place,
+                tracker.apply(
+                    next_offset,
                     acceptance.Rollout(envelope)
                     if len(record) == 1
                     else acceptance.Checkpoint(envelope, int(record[1:])),
                 )
-                place += 1
-    return reader
+                next_offset += 1
+    return tracker
 
 
 def test_acceptance_follows_every_trace_of_the_specification() -> None:
@@ -162,44 +162,44 @@
         if not trace or trace[-1] != "read":
             continue
         count += 1
-        reader = drive_reader(trace, envelopes)
-        view = reader.log_view
-        found = digests[view.envelope.digest] if view else ""
-        assert found == (state.reader if state.joined else ""), trace
+        tracker = replay_bundle_trace(trace, envelopes)
+        view = tracker.log_view
+        letter = digests[view.envelope.digest] if view else ""
+        assert letter == (state.reader if state.joined else ""), trace
     assert count > 500
 
 
-def drive_lease(trace: tuple[str, ...]) -> list[lease.Lease] | None:
-    """Drives two contenders along a trace.
+def replay_lease_trace(trace: tuple[str, ...]) -> list[lease.Lease] | None:
+    """Replays a trace on the leases of two contenders.
 
     Returns:
-        None where a contender does not send though the specification allows
-        it to.
+        The leases, or None if a contender does not send although the
+        specification allows it.
     """
     times = lease.LeaseTimes(spec_lease.TERM, spec_lease.FLIGHT, drift=0.0)
-    ones = [lease.Lease(str(n), times, 0.0) for n in range(2)]
+    leases = [lease.Lease(str(n), times, 0.0) for n in range(2)]
     now = 0.0
-    flying: list[lease.LeaseRecord] = []
+    in_flight: list[lease.LeaseRecord] = []
     log: list[lease.LeaseRecord] = []
-    read = [0, 0]
+    offsets = [0, 0]
     for label in trace:
         words = label.split()
         if label == "tick":
             now += 1.0
         elif words[0] == "land":
-            landed = next(r for r in flying if r.holder == words[1])
-            flying.remove(landed)
-            log.append(landed)
+            record = next(r for r in in_flight if r.holder == words[1])
+            in_flight.remove(record)
+            log.append(record)
         elif words[1] == "reads":
-            who = int(words[0])
-            ones[who].apply_record(read[who], log[read[who]], now)
-            read[who] += 1
+            index = int(words[0])
+            leases[index].apply_record(offsets[index], log[offsets[index]], now)
+            offsets[index] += 1
         elif words[1] == "sends":
-            sent = ones[int(words[0])].make_record(now)
-            if sent is None:
+            record_to_send = leases[int(words[0])].make_record(now)
+            if record_to_send is None:
                 return None
-            flying.append(sent)
-    return ones
+            in_flight.append(record_to_send)
+    return leases
 
 
 def test_lease_follows_the_traces_of_the_specification() -> None:
@@ -207,20 +207,22 @@
     traces = explore.iterate_traces(
         spec_lease.State(), lambda s: spec_lease.list_steps(s, rules)
     )
-    followed = orderers = 0
+    replayed = allowed_orders = 0
     for trace, state in traces:
         if any("order" in label for label in trace):
             continue  # Orders do not change the lease.
-        ones = drive_lease(trace)
-        if ones is None:
+        leases = replay_lease_trace(trace)
+        if leases is None:
             continue
-        followed += 1
-        able = [one.may_send_order(float(state.now)) for one in ones]
+        replayed += 1
+        may_send = [
+            candidate.may_send_order(float(state.now)) for candidate in leases
+        ]
         allowed = [
             spec_lease.may_order(state, one, rules) for one in state.ones
         ]
-        assert able == allowed, trace
-        assert sum(able) <= 1, trace
-        orderers += sum(able)
-    assert followed > 500
-    assert orderers > 20
+        assert may_send == allowed, trace
+        assert sum(may_send) <= 1, trace
+        allowed_orders += sum(may_send)
+    assert replayed > 500
+    assert allowed_orders > 20
