--- a/ramptray/platform/__init__.py
+++ b/ramptray/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translates between ramptray and the users' platform; decides nothing.
+"""Adapter between ramptray and the users' platform; contains no policy.
 
-No name of the platform's wire, store or settings is known outside this package.
+The platform's wire, store and settings names appear only in this package.
 """
--- a/ramptray/platform/address.py
+++ b/ramptray/platform/address.py
@@ -1,7 +1,7 @@
-"""Finds the callers' address in the settings file, before all else is loaded.
+"""Reads the callers' address from the settings file early during startup.
 
-It imports nothing but the standard library; ``settings`` reads and checks the
-whole file.
+Imports only the standard library, so that it can run before the other modules
+are loaded; ``settings`` reads and validates the whole file.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 def read_callers_address() -> str | None:
     """Returns the address on which callers connect, None if there is none.
 
-    A mistake in the file is told when it is read as a whole.
+    Errors in the file are ignored here; ``settings`` reports them.
     """
     path = os.environ.get(PATH_VARIABLE)
     if path is None:
@@ -26,5 +26,5 @@
         listen = tomllib.loads(pathlib.Path(path).read_text()).get("listen")
     except (OSError, tomllib.TOMLDecodeError):
         return None
-    found = listen.get("front") if isinstance(listen, dict) else None
-    return found if isinstance(found, str) else None
+    front = listen.get("front") if isinstance(listen, dict) else None
+    return front if isinstance(front, str) else None
--- a/ramptray/platform/blocks.py
+++ b/ramptray/platform/blocks.py
@@ -1,4 +1,4 @@
-"""Blocks of contents, as a keyed topic of the store keeps them."""
+"""Stores blocks of contents in a keyed topic of the store."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 TOPIC = "keyed.blocks"
 
 
-class _Value(msgspec.Struct, frozen=True):
-    """What stands under a content."""
+class _BlockRecord(msgspec.Struct, frozen=True):
+    """Record value; its key is the blocked content."""
 
     level: int
     until_unix_s: float
@@ -24,18 +24,18 @@
 
 
 class TopicBlockLog(blocklog.BlockLog):
-    """Keeps each block as the newest record under its content.
+    """Stores each block as the newest record of its content.
 
     Args:
-        opened: The store.
+        client: Client of the store.
     """
 
-    def __init__(self, opened: store.Store) -> None:
-        self._store = opened
+    def __init__(self, client: store.Store) -> None:
+        self._store = client
 
     async def save(self, block: blocklog.StoredBlock) -> None:
         """See the base class."""
-        value = _Value(
+        value = _BlockRecord(
             block.level, block.until_unix_s, block.crashes, block.lifted
         )
         await self._store.append(
@@ -45,15 +45,20 @@
     async def load(self) -> list[blocklog.StoredBlock]:
         """See the base class."""
         changes = await self._store.read_newest(TOPIC)
-        found = []
+        blocks = []
         for record in changes.records:
             try:
-                value = msgspec.json.decode(record.value or b"", type=_Value)
+                value = msgspec.json.decode(
+                    record.value or b"", type=_BlockRecord
+                )
             except msgspec.MsgspecError:
-                # Others hold; what is lost may cost some crashes more.
-                LOG.warning("not a block", extra={"key": record.key})
+                # The other blocks stay usable.  Without this one, a few more
+                # servers may crash before the content is blocked again.
+                LOG.warning(
+                    "invalid block record skipped", extra={"key": record.key}
+                )
                 continue
-            found.append(
+            blocks.append(
                 blocklog.StoredBlock(
                     record.key,
                     value.level,
@@ -62,4 +67,4 @@
                     value.lifted,
                 )
             )
-        return found
+        return blocks
--- a/ramptray/platform/config.py
+++ b/ramptray/platform/config.py
@@ -1,4 +1,4 @@
-"""The operator's configuration in the store, decoded into a bundle."""
+"""Decodes the operator's configuration in the store into a bundle."""
 
 from __future__ import annotations
 
@@ -12,27 +12,29 @@
 from ramptray.platform import settings
 
 DOMAIN = "all"
-"""Zones of a deployment are about a millisecond apart: one scheduler sees the
-backend servers of all of them, so the bundle has a single zone."""
+"""The only scheduling zone of the bundle.
+
+The zones of a deployment are about a millisecond apart, so one scheduler
+manages the backend servers of all of them."""
 
 MAX_QUEUED_TOKENS = 1_000_000_000
-"""No bound on what waits but the deadlines: a request that waits in vain is
-given up by its deadline, and the queue's order sees to the rest."""
+"""Practically unlimited: only the requests' deadlines bound a queue, and its
+order decides which requests expire."""
 
 UNBOUNDED_KV_TOKENS = 1_000_000_000
-"""KV memory of a service without engines, in tokens."""
+"""KV memory of a service without model engines, in tokens."""
 
 DEFAULT_SLOTS = 64
-"""Requests at a time of a replica whose record is not known yet."""
+"""Concurrent requests of a replica whose record is not known yet."""
 
 MIN_PATIENCE_S = 2.0
-"""Shortest time in which callers give up a stream without an event, seconds."""
+"""Shortest time for which callers wait for a stream's event, in seconds."""
 
 PATIENCE_PER_OBJECTIVE = 4
-"""Callers wait at least so many times the objective for a stream's event."""
+"""Minimum time that callers wait for a stream's event, in objectives."""
 
 PATIENCE_PER_GAP = 8
-"""Callers wait at least so many of the longest pauses for a stream's event."""
+"""Minimum time that callers wait for a stream's event, in maximum gaps."""
 
 _KINDS = {
     "streaming": model.RouteKind.STREAM,
@@ -42,11 +44,11 @@
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used; one line names the place."""
+    """Invalid configuration; the message is one line that names the field."""
 
 
 class _Wire(msgspec.Struct, frozen=True, kw_only=True):
-    """Base of the configuration's parts: unknown fields are passed over."""
+    """Base of the configuration's parts; unknown fields are ignored."""
 
 
 class _Split(_Wire, frozen=True, kw_only=True):
@@ -60,7 +62,7 @@
     path_prefix: str = msgspec.field(name="pathPrefix")
     kind: Literal["streaming", "safe", "unsafe"]
     timeout_ms: model.PositiveFloat = msgspec.field(name="timeoutMs")
-    # The time within which an answer, or its first event, earns full credit.
+    # Time within which a response, or its first event, earns full credit.
     target_ms: model.PositiveFloat = msgspec.field(name="targetLatencyMs")
     gap_ms: float | None = msgspec.field(name="targetGapMs", default=None)
     priority: int = 0
@@ -83,7 +85,7 @@
     kv_tokens: model.PositiveInt = msgspec.field(
         name="kvTokens", default=UNBOUNDED_KV_TOKENS
     )
-    # Tokens that one event of a stream holds.
+    # Tokens per event of a stream.
     stride: model.PositiveInt = 1
 
 
@@ -106,7 +108,8 @@
     name: model.Name
     keys: list[str] = msgspec.field(name="apiKeys", default_factory=list)
     priority: int | None = None
-    # Counted in tokens or in requests, as ``unit`` says; 0 is no limit.
+    # Unit of the rate and burst: "tokens" or "requests"; a rate of 0 means
+    # no limit.
     unit: str = "requests"
     rate_per_s: float = msgspec.field(name="ratePerS", default=0.0)
     burst: model.NonNegativeFloat = 0.0
@@ -129,13 +132,13 @@
 DEFAULT_LIMIT_TERMS = settings.LimitTerms()
 
 
-class _Decoded(msgspec.Struct, frozen=True):
-    """A route as it was declared, and what became of it.
+class _DecodedRoute(msgspec.Struct, frozen=True):
+    """A decoded route with its source.
 
     Attributes:
-        declared: Its fields in the configuration.
-        wire: The same, checked.
-        route: The same, as the bundle has it.
+        declared: The route's fields in the configuration.
+        wire: The validated fields.
+        route: The route in the bundle.
     """
 
     declared: dict[str, Any]
@@ -144,37 +147,37 @@
 
 
 class ConfigParser:
-    """Decodes one configuration after the other.
+    """Decodes successive configurations.
 
-    Load pattern: a configuration of more than a thousand routes, of which one
-    changes now and then a second, on VMs with half a core.  Routes that have
-    not changed are not checked and made again.
+    Routes that have not changed are reused without validating them again.  The
+    expected load is a configuration of more than a thousand routes on a VM with
+    half a core, of which one route changes up to about once per second.
 
     Args:
-        terms: How customers' limits are judged.
+        terms: How customers' requests are summed against their limits.
     """
 
     def __init__(
         self, terms: settings.LimitTerms = DEFAULT_LIMIT_TERMS
     ) -> None:
         self._terms = terms
-        self._decoded: dict[str, _Decoded] = {}
+        self._decoded: dict[str, _DecodedRoute] = {}
 
     def parse(self, text: str) -> model.Bundle:
-        """Returns the bundle that a configuration declares, without replicas.
+        """Returns the bundle declared by a configuration, without replicas.
 
         Raises:
-            ConfigError: The text is no configuration that can be used.
+            ConfigError: The configuration is invalid.
         """
         fields = _read_fields(text)
         try:
             return self._parse_changed(fields)
         except msgspec.ValidationError as error:
             self._decoded = {}
-            # Decoded again as a whole for an error that names each place.
+            # Decodes the whole again for an error that names each field.
             match validation.convert(fields, _Config, strict=False):
-                case Err(mistakes):
-                    text = validation.format_mistakes(mistakes)
+                case Err(errors):
+                    text = validation.format_mistakes(errors)
                     raise ConfigError(text) from error
                 case Ok(_):
                     raise ConfigError(str(error)) from error
@@ -187,7 +190,7 @@
             name: value for name, value in fields.items() if name != "routes"
         }
         raw = msgspec.convert(others, _Config, strict=False)
-        decoded = [self._decode(each) for each in declared]
+        decoded = [self._decode_route(each) for each in declared]
         self._decoded = {each.wire.name: each for each in decoded}
         return _make_bundle(
             raw,
@@ -196,32 +199,32 @@
             self._terms,
         )
 
-    def _decode(self, declared: dict[str, Any]) -> _Decoded:
+    def _decode_route(self, declared: dict[str, Any]) -> _DecodedRoute:
         known = self._decoded.get(str(declared.get("name")))
         if known is not None and known.declared == declared:
             return known
         wire = msgspec.convert(declared, _Route, strict=False)
-        return _Decoded(declared, wire, _make_route(wire))
+        return _DecodedRoute(declared, wire, _make_route(wire))
 
 
 def _read_fields(text: str) -> dict[str, Any]:
     try:
         return msgspec.json.decode(text, type=dict[str, Any])
     except (msgspec.MsgspecError, RecursionError, UnicodeError) as error:
-        raise ConfigError(f"no JSON object: {error}") from error
+        raise ConfigError(f"not a JSON object: {error}") from error
 
 
 def parse_config(
     text: str, terms: settings.LimitTerms = DEFAULT_LIMIT_TERMS
 ) -> model.Bundle:
-    """Returns the bundle that a single configuration declares.
+    """Returns the bundle declared by a single configuration.
 
     Args:
         text: The configuration.
-        terms: How customers' limits are judged.
+        terms: How customers' requests are summed against their limits.
 
     Raises:
-        ConfigError: The text is no configuration that can be used.
+        ConfigError: The configuration is invalid.
     """
     return ConfigParser(terms).parse(text)
 
@@ -235,7 +238,8 @@
     priorities = sorted({route.priority for route in declared})
     return model.Bundle(
         generation=raw.version,
-        # Unsigned: the store takes changes from operators only.
+        # A dummy key: bundles are unsigned, as the store accepts changes only
+        # from operators.
         operators=model.Operators(
             keys={"store": "ed25519:" + "0" * 64}, signatures_required=1
         ),
@@ -250,15 +254,14 @@
         engines={s.name: _make_engine(s) for s in raw.services},
         backend_servers={},
         routes=routes,
-        relay=_make_limits(raw.limits),
+        relay=_make_relay_limits(raw.limits),
     )
 
 
 def _make_tiers(raw: _Config, priorities: list[int]) -> dict[str, model.Tier]:
-    """Returns the tiers: by the customer's rank, then by the route's.
+    """Returns the tiers, ordered by the customer's rank, then by the route's.
 
-    A route's rank yields to that of the customer; among the requests of
-    customers of one rank it still decides.
+    The route's rank only orders the requests of customers of equal rank.
     """
     ranks = {t.priority for t in raw.tenants if t.priority is not None}
     pairs = sorted(
@@ -337,7 +340,7 @@
     return model.Engine(
         max_running=engine.slots,
         kv_tokens=engine.kv_tokens,
-        # Cached parts share the memory of what runs, and give way to it.
+        # The prefix cache shares memory with running requests, which evict it.
         cache_blocks=engine.kv_tokens // prefix_cache.BLOCK_TOKENS,
         tokens_per_event=engine.stride,
         warm_up_per_s=service.warm_up_per_s,
@@ -361,7 +364,7 @@
         timeout_s=route.timeout_ms / 1000,
         objective_s=route.target_ms / 1000,
         max_gap_s=None if route.gap_ms is None else route.gap_ms / 1000,
-        patience_s=_get_patience(route),
+        patience_s=_compute_patience(route),
         max_attempts=route.max_attempts,
         tier=_name_tier(route.priority, route.priority),
         public=route.public,
@@ -370,7 +373,7 @@
     )
 
 
-def _get_patience(route: _Route) -> float | None:
+def _compute_patience(route: _Route) -> float | None:
     """Returns how long callers wait for a stream's first event, in seconds."""
     if _KINDS[route.kind] is not model.RouteKind.STREAM:
         return None
@@ -381,7 +384,7 @@
     )
 
 
-def _make_limits(limits: _Limits | None) -> model.RelayLimits:
+def _make_relay_limits(limits: _Limits | None) -> model.RelayLimits:
     if limits is None:
         return model.RelayLimits()
     return model.RelayLimits(
--- a/ramptray/platform/evacuation.py
+++ b/ramptray/platform/evacuation.py
@@ -1,8 +1,9 @@
-"""Which availability zones are evacuated, by the operator's records.
+"""Availability zones that operators have ordered to be evacuated.
 
-An order that is missing from all records may have been lost with a store that
-came back from an older copy; it is then written again.  So it stays in force
-for a while, and ends at once only by a record that takes it back.
+An order whose record is missing from a snapshot may have been lost by a store
+that was restored from an older copy; the operator then writes it again.  Such
+an order therefore stays in force for a while.  Only a record that revokes an
+order ends it at once.
 """
 
 from __future__ import annotations
@@ -17,77 +18,83 @@
 KEY_PREFIX = "evacuate/"
 
 MISSING_ORDER_RETENTION_S = 3.0
-"""How long an order stays in force that is missing without having been taken
-back, in seconds: longer than operators take to write lost records again."""
+"""How long an order whose record is missing stays in force, in seconds.
+
+It exceeds the time in which operators write lost records again."""
 
 
 class EvacuationRegistry:
-    """Keeps the evacuated zones; a plain object without sockets or a clock."""
+    """Keeps the evacuated zones; uses no sockets and no clock."""
 
     def __init__(self) -> None:
-        # Until when an order stays in force; None for as long as it stands.
-        self._orders: dict[str, float | None] = {}
+        # Time at which an order expires by zone; None while its record exists.
+        self._expires_at: dict[str, float | None] = {}
 
     @property
     def zones(self) -> frozenset[str]:
-        """The zones whose backend servers are to get no new work."""
-        return frozenset(self._orders)
+        """The zones whose backend servers get no new work."""
+        return frozenset(self._expires_at)
 
     @property
     def has_missing_records(self) -> bool:
-        """Whether an order is kept whose record is missing."""
-        return any(until is not None for until in self._orders.values())
+        """Whether an order in force has no record in the store."""
+        return any(
+            expires_at is not None for expires_at in self._expires_at.values()
+        )
 
     def apply(
-        self, changes: Iterable[store.Change], whole: bool, now: float
+        self, changes: Iterable[store.Change], is_snapshot: bool, now: float
     ) -> bool:
-        """Takes records in the store's order.
+        """Applies records in the store's order.
 
         Args:
-            changes: The records; those of other kinds are passed over.
-            whole: Whether they are all there are.
+            changes: The records; those of other kinds are ignored.
+            is_snapshot: Whether they are all records of the topic.
             now: When they were read, in seconds.
 
         Returns:
             Whether the evacuated zones have changed.
         """
         before = self.zones
-        if whole:
-            self._hold_all(now)
+        if is_snapshot:
+            self._start_expiry(now)
         for change in changes:
             if change.key.startswith(KEY_PREFIX):
-                self._take(change)
-        self._log_difference(before)
+                self._apply_change(change)
+        self._log_changes(before)
         return self.zones != before
 
     def expire(self, now: float) -> bool:
-        """Ends the orders that were kept long enough; tells whether any."""
+        """Ends the expired orders; returns whether there were any."""
         expired = [
             zone
-            for zone, until in self._orders.items()
-            if until is not None and until <= now
+            for zone, expires_at in self._expires_at.items()
+            if expires_at is not None and expires_at <= now
         ]
         for zone in expired:
-            del self._orders[zone]
+            del self._expires_at[zone]
             LOG.info(
                 "evacuation ended",
-                extra={"availability_zone": zone, "reason": "no record of it"},
+                extra={
+                    "availability_zone": zone,
+                    "reason": "its record is missing",
+                },
             )
         return bool(expired)
 
-    def _hold_all(self, now: float) -> None:
-        for zone, until in self._orders.items():
-            if until is None:
-                self._orders[zone] = now + MISSING_ORDER_RETENTION_S
+    def _start_expiry(self, now: float) -> None:
+        for zone, expires_at in self._expires_at.items():
+            if expires_at is None:
+                self._expires_at[zone] = now + MISSING_ORDER_RETENTION_S
 
-    def _take(self, change: store.Change) -> None:
+    def _apply_change(self, change: store.Change) -> None:
         zone = change.key.removeprefix(KEY_PREFIX)
         if change.value is not None:
-            self._orders[zone] = None
+            self._expires_at[zone] = None
         else:
-            self._orders.pop(zone, None)
+            self._expires_at.pop(zone, None)
 
-    def _log_difference(self, before: frozenset[str]) -> None:
+    def _log_changes(self, before: frozenset[str]) -> None:
         for zone in self.zones - before:
             LOG.info("zone evacuated", extra={"availability_zone": zone})
         for zone in before - self.zones:
--- a/ramptray/platform/follower.py
+++ b/ramptray/platform/follower.py
@@ -1,4 +1,4 @@
-"""The tasks that follow the store and put configurations in force."""
+"""Follows the store's configuration and replicas and publishes bundles."""
 
 from __future__ import annotations
 
@@ -33,42 +33,45 @@
 REPLICA_TOPIC = "keyed.servers"
 
 FETCH_TIMEOUT_S = 1.0
-"""Longest time for a peer to hand over what it has, in seconds: less than the
-two seconds in which that must be in force."""
+"""Timeout for fetching updates from a peer, in seconds.
+
+It is less than the two seconds in which a change must be in force."""
 
 CHECK_INTERVAL_S = 0.2
-"""Pause between two looks at what has expired or was lost, in seconds."""
+"""Interval between checks for expired replicas, expired orders and lost reads,
+in seconds."""
 
 IDLE_CHECK_INTERVAL_S = 1.0
-"""The same while no record is missing or known to be outstanding."""
+"""The same interval while no record is missing or known to be pending."""
 
 PEER_FETCH_INTERVAL_S = 0.5
-"""How often a VM that the store turns away asks a peer, in seconds: what the
-store has must be in force everywhere within about two seconds."""
+"""How often a VM that cannot read the store fetches updates from a peer, in
+seconds.
+
+A change in the store must be in force on every VM within about two seconds."""
 
 OnBundle = Callable[[acceptance.InForce], None]
 
 
 class Follower(source.BundleSource):
-    """Follows configuration and replicas, from the store and from peers.
+    """Follows the configuration and the replicas in the store and at peers.
 
-    Versions only rise: an old read, or a peer that is behind, changes nothing.
+    Versions only rise: a stale read or a peer that lags behind has no effect.
 
     Args:
         me: This VM.
         seeds: Addresses of some VMs; they may be stale.
         first_start: Whether all VMs start for the first time.
-        reader: The store.
-        client: Asks peers.
-        hold_s: See ``replicas.ReplicaRegistry``.
-        zones: Region of each availability zone; empty where that is not
-            given.
-        terms: How customers' limits are judged.
-        rollout_terms: How much a release that turns out bad may get.
-        on_bundle: Called with each bundle that comes into force.
+        store_client: Client of the store.
+        client: Client for calls to peers.
+        retention_s: See ``replicas.ReplicaRegistry``.
+        zones: Region of each availability zone; empty if unknown.
+        terms: How customers' requests are summed against their limits.
+        rollout_terms: How many requests a bad release may get.
+        on_bundle: Called with each new bundle in force.
 
     Attributes:
-        pick_peer: Returns some peer's address, if there is any.
+        pick_peer: Returns the address of any peer, None if there is none.
     """
 
     def __init__(
@@ -76,33 +79,39 @@
         me: membership.Member,
         seeds: Iterable[str],
         first_start: bool,
-        reader: store.Store,
+        store_client: store.Store,
         client: peer_link.PeerClient,
-        hold_s: float,
+        retention_s: float,
         zones: Mapping[str, str],
         terms: settings.LimitTerms,
         rollout_terms: settings.RolloutTerms,
         on_bundle: OnBundle,
     ) -> None:
         super().__init__(client, FETCH_TIMEOUT_S)
-        self.pick_peer: Callable[[], str | None] = _pick_none
+        self.pick_peer: Callable[[], str | None] = _pick_no_peer
         self._in_force: acceptance.InForce | None = None
         self._parser = config.ConfigParser(terms)
-        self._book = replicas.ReplicaRegistry(hold_s, zones)
+        self._replica_registry = replicas.ReplicaRegistry(retention_s, zones)
         self._regions = zones
         self._evacuations = evacuation.EvacuationRegistry()
         self._rollouts = rollout.RolloutOrderRegistry(rollout_terms)
         self._on_bundle = on_bundle
         self._declared: model.Bundle | None = None
         self._text = ""
-        self._config = topic.TopicReader(
-            reader, CONFIG_TOPIC, self._take_config, self._note_trouble
+        self._config_reader = topic.TopicReader(
+            store_client,
+            CONFIG_TOPIC,
+            self._apply_config_changes,
+            self._record_store_error,
         )
-        self._replicas = topic.TopicReader(
-            reader, REPLICA_TOPIC, self._take_replicas, self._note_trouble
+        self._replica_reader = topic.TopicReader(
+            store_client,
+            REPLICA_TOPIC,
+            self._apply_replica_changes,
+            self._record_store_error,
         )
-        self._readers = (self._config, self._replicas)
-        self._hurry = anyio.Event()
+        self._readers = (self._config_reader, self._replica_reader)
+        self._woken = anyio.Event()
         self._distributor = distributor.StreamDistributor(
             me,
             seeds,
@@ -113,18 +122,18 @@
                 for each in self._readers
             ],
         )
-        self._distributor.get_outage = self._book.get_outage
+        self._distributor.get_outage = self._replica_registry.get_outage
         self._distributor.on_outage = self._record_outage
-        reader.add_rollback_listener(self._note_older_copy)
+        store_client.add_rollback_listener(self._on_store_rollback)
 
     async def run(self) -> None:
         """Follows until cancelled."""
         async with anyio.create_task_group() as tasks:
             for reader in self._readers:
                 tasks.start_soon(reader.run)
-            tasks.start_soon(self._tick)
+            tasks.start_soon(self._run_checks)
             tasks.start_soon(self._distributor.run)
-            tasks.start_soon(self._ask_peers)
+            tasks.start_soon(self._fetch_from_peers)
 
     @property
     def in_force(self) -> acceptance.InForce | None:
@@ -150,8 +159,8 @@
         for reader in self._readers:
             reader.update_known_end(ends.get(reader.stream, 0))
             reader.check_pending_read()
-        if self._is_unsettled():
-            self._hurry.set()
+        if self._has_pending_checks():
+            self._woken.set()
             self._distributor.wake()
 
     def set_watching(self, watching: bool) -> None:
@@ -166,8 +175,8 @@
         self._distributor.update_members(alive)
 
     def wake(self) -> None:
-        """Has this VM look at once at what it follows and what it knows."""
-        self._hurry.set()
+        """Makes this VM run its checks and follow its sources at once."""
+        self._woken.set()
         self._distributor.wake()
 
     async def serve_streams(
@@ -179,7 +188,8 @@
     async def fetch(self, address: str, generation: int) -> None:
         """See the base class.
 
-        The VMs that this one follows send the change as a difference.
+        Does nothing: the VMs that this one follows send the change as a
+        difference.
         """
 
     async def fetch_newer(self, address: str) -> None:
@@ -187,7 +197,7 @@
         await self._distributor.fetch_updates(address)
 
     def _record_outage(self, outage: distributor.LogOutage) -> None:
-        self._book.merge_outage(outage, steadyclock.read())
+        self._replica_registry.merge_outage(outage, steadyclock.read())
 
     def set_on_stream_advance(self, on_advance: Callable[[], None]) -> None:
         """See the base class."""
@@ -199,44 +209,46 @@
     ) -> None:
         """See the base class."""
         if fetched.envelope:
-            self._take_text(fetched.envelope.text, f"peer {address}")
+            self._apply_config(fetched.envelope.text, f"peer {address}")
 
     def list_gauges(self, now: float) -> list[metrics.Gauge]:
-        """Returns the reads of the store and the generation in force."""
+        """Returns gauges of the store's readers, records and generation."""
         gauges = [
             gauge
             for reader in self._readers
             for gauge in reader.list_gauges(now)
         ]
-        count = self._book.unusable_count
+        count = self._replica_registry.unusable_count
         gauges.append(metrics.Gauge("records_unusable", {}, count))
         if self._declared:
             generation = self._declared.generation
             gauges.append(metrics.Gauge("generation", {}, generation))
         return gauges
 
-    async def _ask_peers(self) -> None:
-        """Asks peers while the store turns this VM away."""
+    async def _fetch_from_peers(self) -> None:
+        """Fetches updates from peers while the store is unavailable."""
         while True:
             await anyio.sleep(PEER_FETCH_INTERVAL_S)
             peer = None if self.log_up else self.pick_peer()
             if peer is not None:
                 await self.fetch_newer(peer)
 
-    # What was read.
-
-    def _take_config(self, changes: store.Changes, whole: bool) -> None:
+    def _apply_config_changes(
+        self, changes: store.Changes, is_snapshot: bool
+    ) -> None:
         now = steadyclock.read()
-        zones_changed = self._evacuations.apply(changes.records, whole, now)
-        orders_changed = self._rollouts.apply(changes.records, whole, now)
+        zones_changed = self._evacuations.apply(
+            changes.records, is_snapshot, now
+        )
+        orders_changed = self._rollouts.apply(changes.records, is_snapshot, now)
         if zones_changed or orders_changed:
             self._publish()
         for change in changes.records:
             if change.key == CONFIG_KEY and change.value is not None:
                 text = change.value.decode("utf-8", errors="replace")
-                self._take_text(text, self._config.origin)
+                self._apply_config(text, self._config_reader.origin)
 
-    def _take_text(self, text: str, origin: str) -> None:
+    def _apply_config(self, text: str, origin: str) -> None:
         try:
             bundle = self._parser.parse(text)
         except config.ConfigError as error:
@@ -263,50 +275,54 @@
         )
         self._publish()
 
-    def _take_replicas(self, changes: store.Changes, whole: bool) -> None:
+    def _apply_replica_changes(
+        self, changes: store.Changes, is_snapshot: bool
+    ) -> None:
         now = steadyclock.read()
-        if self._replicas.in_outage:
-            self._book.record_store_recovery(now)
-        if whole:
-            self._book.apply_snapshot(changes.records, now, changes.end)
+        if self._replica_reader.in_outage:
+            self._replica_registry.record_store_recovery(now)
+        if is_snapshot:
+            self._replica_registry.apply_snapshot(
+                changes.records, now, changes.end
+            )
         else:
-            self._book.apply_changes(changes.records, now)
-        if whole or changes.records:
-            # Each bundle costs an owner some work, and a watcher hears once a
-            # second that nothing has changed.
+            self._replica_registry.apply_changes(changes.records, now)
+        if is_snapshot or changes.records:
+            # Empty reads, which a watching VM gets once per second, must not
+            # publish: each bundle costs shard owners some work.
             self._publish()
 
-    def _note_trouble(self) -> None:
-        self._book.record_store_error(steadyclock.read())
+    def _record_store_error(self) -> None:
+        self._replica_registry.record_store_error(steadyclock.read())
 
-    def _note_older_copy(self) -> None:
-        """Keeps replicas whose records are lost as long as after an outage.
+    def _on_store_rollback(self) -> None:
+        """Retains replicas whose records were lost, as after an outage.
 
         The writers of lost records write them again.
         """
-        self._book.record_store_recovery(steadyclock.read())
+        self._replica_registry.record_store_recovery(steadyclock.read())
 
-    def _is_unsettled(self) -> bool:
-        """Returns whether a moment is near at which something is due."""
+    def _has_pending_checks(self) -> bool:
+        """Returns whether records are missing or known to be unread."""
         return (
-            self._book.has_missing_records
+            self._replica_registry.has_missing_records
             or self._evacuations.has_missing_records
             or any(reader.is_behind for reader in self._readers)
         )
 
-    async def _tick(self) -> None:
+    async def _run_checks(self) -> None:
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
-            if not self._is_unsettled():
-                self._hurry = anyio.Event()
+            if not self._has_pending_checks():
+                self._woken = anyio.Event()
                 with anyio.move_on_after(
                     IDLE_CHECK_INTERVAL_S - CHECK_INTERVAL_S
                 ):
-                    await self._hurry.wait()
+                    await self._woken.wait()
             for reader in self._readers:
                 reader.check_pending_read()
             now = steadyclock.read()
-            replicas_gone = self._book.expire(now)
+            replicas_gone = self._replica_registry.expire(now)
             evacuations_ended = self._evacuations.expire(now)
             if replicas_gone or evacuations_ended:
                 self._publish()
@@ -316,7 +332,7 @@
             return
         bundle = add_replicas(
             self._declared,
-            self._book.list_replicas(),
+            self._replica_registry.list_replicas(),
             self._evacuations.zones,
             self._regions,
         )
@@ -329,19 +345,23 @@
 
 def add_replicas(
     declared: model.Bundle,
-    found: dict[str, peer_message.Replica],
+    replicas_by_name: dict[str, peer_message.Replica],
     evacuated: Collection[str] = (),
     regions: Mapping[str, str] = MappingProxyType({}),
 ) -> model.Bundle:
-    """Returns the declared bundle with its backend servers as they are now.
+    """Returns the declared bundle with the current backend servers.
 
     Args:
-        declared: The bundle.
-        found: The replicas.
+        declared: The bundle without backend servers.
+        replicas_by_name: The replicas.
         evacuated: Availability zones whose backend servers get no new work.
-        regions: Region of each availability zone, as far as it is known.
+        regions: Region of each availability zone, if known.
     """
-    known = {n: r for n, r in found.items() if r.service in declared.services}
+    known = {
+        n: r
+        for n, r in replicas_by_name.items()
+        if r.service in declared.services
+    }
     engines = dict(declared.engines)
     for replica in known.values():
         engines[_name_engine(replica)] = msgspec.structs.replace(
@@ -367,8 +387,8 @@
     )
 
 
-def _pick_none() -> str | None:
-    """Stands in until the peers are known."""
+def _pick_no_peer() -> str | None:
+    """Default for ``Follower.pick_peer`` until the peers are known."""
     return None
 
 
--- a/ramptray/platform/header.py
+++ b/ramptray/platform/header.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the platform spells them in HTTP headers."""
+"""The platform's HTTP headers of requests and responses."""
 
 from __future__ import annotations
 
@@ -16,39 +16,39 @@
 
 REQUEST_ID = b"x-request-id"
 SIGNATURE = b"x-response-signature"
-"""Set by replicas; it travels on like all headers that are not named here."""
+"""Set by replicas; forwarded like every header that is not named here."""
 
 DEADLINE = b"x-deadline-ms"
-_KEY = b"authorization"
-_SIZES = b"x-token-count"
-"""Two numbers: tokens of the prompt, and the most that may be generated."""
+_AUTHORIZATION = b"authorization"
+_TOKEN_COUNT = b"x-token-count"
+"""Two numbers: tokens of the prompt, and the maximum of generated tokens."""
 
-_LIKELY = b"x-length-hint"
-"""The caller's guess of the tokens generated; often far off."""
+_LENGTH_HINT = b"x-length-hint"
+"""The caller's estimate of the generated tokens; often inaccurate."""
 
-_PARTS = b"x-prompt-prefix"
+_PROMPT_PREFIX = b"x-prompt-prefix"
 _MODEL = b"x-model"
 MAX_PREFIX_PARTS = 64
-"""Longest list of prompt parts that is used; the rest is dropped."""
+"""Maximum number of prompt parts that are used; the rest is ignored."""
 
 LAST_EVENT = b"last-event-id"
 CUSTOMER = b"x-tenant"
 EXPECTED_BACKEND = b"x-expect-instance"
-"""The replica that is meant; every other one answers 421 and runs nothing."""
+"""The intended replica; any other responds 421 without running the request."""
 
 NOT_EXECUTED = b"x-not-executed"
 SERVER_LIMIT = b"server-limit"
-"""Requests a second that the replica accepts from all VMs together."""
+"""Requests per second that the replica accepts from all VMs together."""
 
 SERVER_LEAVING = b"server-leaving"
-"""1 in each answer of a replica that is leaving."""
+"""1 in every response of a replica that is leaving."""
 
 RETRY_AFTER = b"retry-after"
-"""Seconds for which a replica that turned a request away wants nothing from
+"""Seconds for which a replica that rejected a request wants no requests from
 this VM."""
 
 _LEAVING_VALUE = b"1"
-_ANSWER_NAMES = response_headers.STANDARD_RESPONSE_HEADERS | {
+_KNOWN_RESPONSE_HEADERS = response_headers.STANDARD_RESPONSE_HEADERS | {
     REQUEST_ID,
     SERVER_LEAVING,
     SERVER_LIMIT,
@@ -56,15 +56,15 @@
     RETRY_AFTER,
     SIGNATURE,
 }
-"""Header names of answers whose meaning is known here."""
+"""Response headers whose meaning is known here."""
 
 MAX_LOGGED_NAMES = 32
-"""Unknown header names of answers that are logged at most."""
+"""Maximum number of unknown response headers that are logged."""
 
 _DECIMAL = re.compile(rb"\d{1,9}(\.\d{1,9})?")
 _KEEP_ALIVE = b"keep-alive"
 
-_OF_ONE_CONNECTION = frozenset(
+_HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"content-length",
@@ -79,12 +79,12 @@
         b"upgrade",
     }
 )
-_SET_BY_US = frozenset(
+_STRIPPED_FROM_REQUESTS = frozenset(
     {
         EXPECTED_BACKEND,
         CUSTOMER,
         DEADLINE,
-        _KEY,
+        _AUTHORIZATION,
         LAST_EVENT,
         b"kv-fetch",
         b"kv-from",
@@ -94,10 +94,18 @@
         b"x-pin-ms",
     }
 )
-_END_TO_END = frozenset(
-    {REQUEST_ID, _SIZES, _LIKELY, _PARTS, b"host", _MODEL, b"content-type"}
+_ALWAYS_FORWARDED = frozenset(
+    {
+        REQUEST_ID,
+        _TOKEN_COUNT,
+        _LENGTH_HINT,
+        _PROMPT_PREFIX,
+        b"host",
+        _MODEL,
+        b"content-type",
+    }
 )
-"""Headers that travel on even if the caller ties them to its connection."""
+"""Headers that are forwarded even if ``Connection`` names them."""
 
 _MISDIRECTED = 421
 _UNAVAILABLE = 503
@@ -105,15 +113,15 @@
 
 
 class PlatformDialect(dialect.Dialect):
-    """The platform's headers.
+    """Translates the platform's headers.
 
     Attributes:
-        invalid: Answers with a header that could not be decoded, by its name.
+        invalid: Number of responses with an invalid header, by header.
     """
 
     def __init__(self) -> None:
         self.invalid: collections.Counter[str] = collections.Counter()
-        self._unknown: set[bytes] = set()
+        self._logged_unknown: set[bytes] = set()
 
     def parse_request(
         self, head: message.RequestHead
@@ -127,26 +135,26 @@
                 message.InvalidRequest(400, "x-request-id: exactly one wanted")
             )
         values = {name.lower(): value for name, value in head.headers}
-        prompt, output = _read_sizes(values.get(_SIZES))
-        prefix, prefix_tokens = _read_prefix(
-            values.get(_PARTS, b""), values.get(_MODEL, b"")
+        prompt, output = _parse_token_counts(values.get(_TOKEN_COUNT))
+        prefix, prefix_tokens = _parse_prefix(
+            values.get(_PROMPT_PREFIX, b""), values.get(_MODEL, b"")
         )
-        deadline = _read_int(values.get(DEADLINE))
+        deadline = _parse_int(values.get(DEADLINE))
         return Ok(
             message.CallerRequest(
                 method=head.method,
                 target=head.target,
-                host=_read_host(values.get(b"host", b"")),
-                headers=_leave_out(head.headers, _SET_BY_US),
+                host=_parse_host(values.get(b"host", b"")),
+                headers=_filter_headers(head.headers, _STRIPPED_FROM_REQUESTS),
                 request_id=values[REQUEST_ID].decode("latin-1"),
                 deadline_s=None if deadline is None else deadline / 1000,
-                key=_read_key(values.get(_KEY, b"")),
+                key=_parse_key(values.get(_AUTHORIZATION, b"")),
                 prompt_tokens=prompt,
                 output_tokens=output,
-                likely_tokens=_read_int(values.get(_LIKELY)),
+                likely_tokens=_parse_int(values.get(_LENGTH_HINT)),
                 prefix=prefix,
                 prefix_tokens=prefix_tokens,
-                last_event=_read_text(values.get(LAST_EVENT)),
+                last_event=_decode_text(values.get(LAST_EVENT)),
             )
         )
 
@@ -171,47 +179,48 @@
     ) -> message.ResponseHead:
         """See the base class."""
         values = {name.lower(): value for name, value in headers}
-        self._note_unknown(values.keys(), status)
+        self._log_unknown(values.keys(), status)
         return message.ResponseHead(
             status=status,
-            headers=_leave_out(headers, frozenset({NOT_EXECUTED})),
-            request_id=_read_text(values.get(REQUEST_ID)),
+            headers=_filter_headers(headers, frozenset({NOT_EXECUTED})),
+            request_id=_decode_text(values.get(REQUEST_ID)),
             not_run=NOT_EXECUTED in values or status == _MISDIRECTED,
-            idle_s=_read_keep_alive(values.get(_KEEP_ALIVE, b"")),
-            limit_per_s=self._read_decimal(headers, SERVER_LIMIT),
-            is_leaving=SERVER_LEAVING in values and self._read_leaving(headers),
+            idle_s=_parse_keep_alive(values.get(_KEEP_ALIVE, b"")),
+            limit_per_s=self._parse_decimal(headers, SERVER_LIMIT),
+            is_leaving=SERVER_LEAVING in values
+            and self._parse_leaving(headers),
             pause_s=(
-                self._read_decimal(headers, RETRY_AFTER)
+                self._parse_decimal(headers, RETRY_AFTER)
                 if status == _UNAVAILABLE
                 else None
             ),
         )
 
-    def _read_decimal(
+    def _parse_decimal(
         self, headers: message.Headers, wanted: bytes
     ) -> float | None:
-        """Returns the number in a header; None for none or invalid."""
+        """Returns the number in a header; None if missing or invalid."""
         found = _list_values(headers, wanted)
         if not found:
             return None
         value = found[0].strip()
         if len(found) == 1 and _DECIMAL.fullmatch(value):
             return float(value)
-        self._note_invalid(wanted, found)
+        self._record_invalid(wanted, found)
         return None
 
-    def _read_leaving(self, headers: message.Headers) -> bool:
-        """Returns whether an answer says that its replica is leaving."""
+    def _parse_leaving(self, headers: message.Headers) -> bool:
+        """Returns whether a response says that its replica is leaving."""
         found = _list_values(headers, SERVER_LEAVING)
         if all(value.strip() == _LEAVING_VALUE for value in found):
             return True
-        self._note_invalid(SERVER_LEAVING, found)
+        self._record_invalid(SERVER_LEAVING, found)
         return False
 
-    def _note_invalid(self, name: bytes, found: list[bytes]) -> None:
+    def _record_invalid(self, name: bytes, found: list[bytes]) -> None:
         text = name.decode()
         self.invalid[text] += 1
-        # One line for each doubling bounds the log.
+        # Logging only at powers of two bounds the number of lines.
         if self.invalid[text].bit_count() == 1:
             LOG.warning(
                 "invalid header of an answer ignored",
@@ -222,12 +231,12 @@
                 },
             )
 
-    def _note_unknown(self, names: Set[bytes], status: int) -> None:
-        """Logs each header name of answers that nothing here reads, once."""
-        for name in names - _ANSWER_NAMES - self._unknown:
-            if len(self._unknown) >= MAX_LOGGED_NAMES:
+    def _log_unknown(self, names: Set[bytes], status: int) -> None:
+        """Logs each unknown response header once."""
+        for name in names - _KNOWN_RESPONSE_HEADERS - self._logged_unknown:
+            if len(self._logged_unknown) >= MAX_LOGGED_NAMES:
                 return
-            self._unknown.add(name)
+            self._logged_unknown.add(name)
             LOG.info(
                 "answer header without a reader",
                 extra={
@@ -249,15 +258,15 @@
         return headers
 
 
-def _leave_out(
-    headers: message.Headers, further: frozenset[bytes]
+def _filter_headers(
+    headers: message.Headers, extra_names: frozenset[bytes]
 ) -> message.Headers:
-    """Returns the headers that travel on."""
+    """Returns the headers to forward, without hop-by-hop and extra ones."""
     listed = b",".join(
         value for name, value in headers if name.lower() == b"connection"
     )
     named = {token.strip().lower() for token in listed.split(b",")}
-    dropped = _OF_ONE_CONNECTION | further | (named - _END_TO_END)
+    dropped = _HOP_BY_HOP | extra_names | (named - _ALWAYS_FORWARDED)
     return [(n, v) for n, v in headers if n.lower() not in dropped]
 
 
@@ -265,45 +274,45 @@
     return [value for name, value in headers if name.lower() == wanted]
 
 
-def _read_host(value: bytes) -> str:
+def _parse_host(value: bytes) -> str:
     return value.decode("latin-1").partition(":")[0].lower()
 
 
-def _read_key(value: bytes) -> str | None:
+def _parse_key(value: bytes) -> str | None:
     text = value.decode("latin-1")
     if not text.lower().startswith(_BEARER):
         return None
     return text[len(_BEARER) :].strip()
 
 
-def _read_int(value: bytes | None) -> int | None:
-    """Returns a whole number, or None for none or for something else."""
+def _parse_int(value: bytes | None) -> int | None:
+    """Returns an integer; None if it is missing or invalid."""
     if value is None or not value.strip().isdigit():
         return None
     return int(value)
 
 
-def _read_sizes(value: bytes | None) -> tuple[int | None, int]:
+def _parse_token_counts(value: bytes | None) -> tuple[int | None, int]:
     first, _, second = (value or b"").partition(b",")
-    return _read_int(first), _read_int(second) or 0
+    return _parse_int(first), _parse_int(second) or 0
 
 
-def _read_prefix(
+def _parse_prefix(
     value: bytes, model: bytes
 ) -> tuple[tuple[int, ...], tuple[int, ...]]:
-    """Returns the prompt's parts, each ID:TOKENS, for one model's weights.
+    """Parses the prompt's parts, each ID:TOKENS, for one model.
 
-    What follows a part that makes no sense is left out: a part counts only
-    behind all those before it.
+    The parts after an invalid one are ignored: a part is only meaningful after
+    all those before it.
 
     Returns:
-        The chained hash of each part, and its tokens.
+        The chained hash and the tokens of each part.
     """
     chained = zlib.crc32(model)
     hashes: list[int] = []
     sizes: list[int] = []
     for part in value.split(b",")[:MAX_PREFIX_PARTS]:
-        tokens = _read_int(part.rpartition(b":")[2])
+        tokens = _parse_int(part.rpartition(b":")[2])
         if tokens is None:
             break
         chained = zlib.crc32(part.strip(), chained)
@@ -312,14 +321,14 @@
     return tuple(hashes), tuple(sizes)
 
 
-def _read_text(value: bytes | None) -> str | None:
+def _decode_text(value: bytes | None) -> str | None:
     return None if value is None else value.decode("latin-1")
 
 
-def _read_keep_alive(value: bytes) -> float | None:
+def _parse_keep_alive(value: bytes) -> float | None:
     for part in value.split(b","):
         name, _, seconds = part.strip().partition(b"=")
         if name.strip().lower() == b"timeout":
-            number = _read_int(seconds)
+            number = _parse_int(seconds)
             return None if number is None else float(number)
     return None
--- a/ramptray/platform/page.py
+++ b/ramptray/platform/page.py
@@ -1,4 +1,4 @@
-"""Pages of records as the store sends them."""
+"""Encodes and decodes the pages of records that the store sends."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 from ramptray.platform import stream_position
 
 RECORD_LENGTH = struct.Struct(">I")
-"""What stands before each record: its length."""
+"""Prefix of each record: its length."""
 
 PAGE_HEADER = struct.Struct(">QQ")
-"""What stands before the records: the end, and the first offset kept."""
+"""Precedes the records: the topic's end, and the first offset retained."""
 
 INVALID_VALUE = b"\x00"
-"""Stands for a value of which the bytes make no sense."""
+"""Replaces a value that is not valid base64."""
 
 
 class StoreError(log_error.LogError):
-    """The store did not answer, or turned the call away."""
+    """The store did not respond, or rejected the call."""
 
 
 class TrimmedError(StoreError, log_error.LogTrimmedError):
-    """Records that were asked for are not kept any more."""
+    """The requested records are no longer retained."""
 
 
 class NewestItem(msgspec.Struct):
-    """The newest record of a key, on the wire."""
+    """Wire format of the newest record of a key."""
 
-    # The store's field is named after TLS; it holds the record's key.
+    # Despite its name on the wire, the field holds the record's key.
     key: str = msgspec.field(name="tlsKey")
     value: str = ""
     offset: int = -1
 
 
 class NewestPage(msgspec.Struct):
-    """A page of newest records, on the wire."""
+    """Wire format of a page of newest records."""
 
     items: list[NewestItem]
     end: int
@@ -48,15 +48,15 @@
 
 
 def encode_newest(page: NewestPage) -> bytes:
-    """Returns a page as the store sends it."""
+    """Returns the wire format of a page."""
     return msgspec.json.encode(page)
 
 
 def decode_newest(body: bytes) -> NewestPage:
-    """Returns the page in the bytes.
+    """Decodes a page of newest records.
 
     Raises:
-        StoreError: They are none.
+        StoreError: The bytes are not a valid page.
     """
     try:
         return msgspec.json.decode(body, type=NewestPage)
@@ -65,19 +65,19 @@
 
 
 def decode_value(text: str) -> bytes:
-    """Returns a value; ``INVALID_VALUE`` for one that makes no sense."""
+    """Decodes a value; returns ``INVALID_VALUE`` for invalid base64."""
     try:
         return base64.b64decode(text, validate=True)
     except binascii.Error:
-        # Whoever reads the value says so; the other items hold.
+        # The reader of the value reports it; the other items stay usable.
         return INVALID_VALUE
 
 
 def decode_records(body: bytes, offset: int) -> keyedstream.Changes:
-    """Splits the store's bytes: end, first offset kept, then records.
+    """Decodes the store's bytes: end, first offset retained, then records.
 
     Raises:
-        TrimmedError: Records from the offset on are not kept any more.
+        TrimmedError: Records from the offset on are no longer retained.
         StoreError: The bytes are not a series of records.
     """
     try:
@@ -88,13 +88,15 @@
             stream_position.get_generation(offset), end
         )
         records: list[keyedstream.Change] = []
-        at = PAGE_HEADER.size
-        while at < len(body):
-            (length,) = RECORD_LENGTH.unpack_from(body, at)
-            at += RECORD_LENGTH.size
+        cursor = PAGE_HEADER.size
+        while cursor < len(body):
+            (length,) = RECORD_LENGTH.unpack_from(body, cursor)
+            cursor += RECORD_LENGTH.size
             position = offset + len(records)
-            records.append(_decode_keyed(body[at : at + length], position))
-            at += length
+            records.append(
+                _decode_record(body[cursor : cursor + length], position)
+            )
+            cursor += length
     except struct.error as error:
         raise StoreError(f"not a series of records: {error}") from error
     return keyedstream.Changes(
@@ -102,10 +104,10 @@
     )
 
 
-def _decode_keyed(record: bytes, position: int) -> keyedstream.Change:
-    """Splits a record: length of the key (1 byte), key, value.
+def _decode_record(record: bytes, position: int) -> keyedstream.Change:
+    """Decodes a record: length of the key (1 byte), key, value.
 
-    One that cannot be split stands for no key, so that the others hold.
+    A malformed record gets an empty key, so that the others stay usable.
     """
     key_end = 1 + record[0] if record else 1
     key = record[1:key_end].decode(errors="replace")
--- a/ramptray/platform/record.py
+++ b/ramptray/platform/record.py
@@ -1,8 +1,8 @@
-"""A replica's record in the store, decoded into a backend server.
+"""Decodes a replica's record in the store into a backend server.
 
-Others may write records too.  One that is not wholly sound names no replica:
-guessing at the rest of it would send callers' requests to an address that
-nobody vouches for.
+Other programs may write records too.  A record with any invalid field is
+rejected as a whole: using the remaining fields could send callers' requests to
+an address that no replica has published.
 """
 
 from __future__ import annotations
@@ -17,21 +17,23 @@
 from ramptray.peer import message as peer_message
 
 MAX_SLOTS = 100_000
-"""Requests at a time of any replica; a larger number is a mistake, and would
-send everything there."""
+"""Maximum concurrent requests of a replica.
 
-MAX_MS = 2**53
-"""Latest start that is believed, in Unix milliseconds: larger numbers are not
-exact in every program that writes records."""
+A larger number is an error in the record, and would draw all requests to that
+replica."""
 
+MAX_TIMESTAMP_MS = 2**53
+"""Latest accepted start, in Unix milliseconds.
+
+Programs that write records as floating-point numbers cannot represent larger
+integers exactly."""
 
 MAX_ERROR_CHARS = 200
-"""Longest account of a mistake: it repeats what the record holds, and is
-logged."""
+"""Maximum length of a logged error text, which quotes the record."""
 
 
 class RecordError(Exception):
-    """A record that cannot be used; one line names the place."""
+    """Invalid record; the message is one line that names the field."""
 
 
 class _State(enum.Enum):
@@ -39,10 +41,10 @@
     DRAINING = "draining"
 
 
-_KEY = re.compile(r"[!-~]+")
-"""Names of replicas: they stand in headers."""
+_NAME_PATTERN = re.compile(r"[!-~]+")
+"""Allowed names of replicas: names are sent in headers."""
 
-_Text = Annotated[str, msgspec.Meta(min_length=1)]
+_NonEmptyStr = Annotated[str, msgspec.Meta(min_length=1)]
 _Address = Annotated[
     str,
     msgspec.Meta(
@@ -53,17 +55,17 @@
 
 
 class _Record(msgspec.Struct, frozen=True, kw_only=True):
-    service: _Text
+    service: _NonEmptyStr
     address: _Address
-    zone: _Text
+    zone: _NonEmptyStr
     release: str = msgspec.field(name="version", default="")
     slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: _State
-    started_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_MS)] = msgspec.field(
-        name="born", default=0
+    started_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_TIMESTAMP_MS)] = (
+        msgspec.field(name="born", default=0)
     )
-    warm_in_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_MS)] = msgspec.field(
-        name="coldMs", default=0.0
+    warm_in_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_TIMESTAMP_MS)] = (
+        msgspec.field(name="coldMs", default=0.0)
     )
 
 
@@ -73,18 +75,18 @@
     position: int = -1,
     zones: Collection[str] = (),
 ) -> peer_message.Replica:
-    """Returns the replica that a record describes.
+    """Decodes a replica's record.
 
     Args:
         value: The record.
-        name: The replica's name, under which the record stands.
-        position: Its offset in the store; -1 where that is not known.
-        zones: The availability zones that there are; empty for any.
+        name: The replica's name, which is the record's key.
+        position: The record's position in the store; -1 if unknown.
+        zones: The existing availability zones; empty to accept any.
 
     Raises:
-        RecordError: The record makes no sense.
+        RecordError: The record is invalid.
     """
-    if not _KEY.fullmatch(name):
+    if not _NAME_PATTERN.fullmatch(name):
         raise RecordError("its name cannot stand in a header")
     try:
         raw = msgspec.json.decode(value.decode(), type=_Record)
--- a/ramptray/platform/rollout.py
+++ b/ramptray/platform/rollout.py
@@ -1,4 +1,4 @@
-"""Operators' orders to roll a release out, and what is told of them."""
+"""Operators' rollout orders, and the reported status of each rollout."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 class RolloutOrderRegistry:
-    """Keeps the orders; a plain object without sockets or a clock.
+    """Keeps the rollout orders; uses no sockets and no clock.
 
     Args:
-        terms: How much of a service a bad release may get.
+        terms: How many of a service's requests a bad release may get.
     """
 
     def __init__(self, terms: settings.RolloutTerms) -> None:
@@ -44,20 +44,20 @@
         self._orders: dict[str, rollout.Order] = {}
 
     def list_orders(self) -> dict[str, rollout.Order]:
-        """Returns the orders by their services."""
+        """Returns the orders by service."""
         return dict(self._orders)
 
     def apply(
-        self, changes: Iterable[store.Change], whole: bool, now: float
+        self, changes: Iterable[store.Change], is_snapshot: bool, now: float
     ) -> bool:
-        """Takes records in the store's order.
+        """Applies records in the store's order.
 
-        An order that is missing after a read of everything stays: an older copy
-        of the store may lack it, and what was decided on it holds anyway.
+        An order that a snapshot lacks is kept: a store restored from an older
+        copy may have lost it, and its verdict stays valid in any case.
 
         Args:
-            changes: The records; those of other kinds are passed over.
-            whole: Whether they are all there are.
+            changes: The records; those of other kinds are ignored.
+            is_snapshot: Whether they are all records of the topic.
             now: When they were read, in seconds.
 
         Returns:
@@ -66,10 +66,10 @@
         before = dict(self._orders)
         for change in changes:
             if change.key.startswith(KEY_PREFIX):
-                self._take(change, now)
+                self._apply_change(change, now)
         return before != self._orders
 
-    def _take(self, change: store.Change, now: float) -> None:
+    def _apply_change(self, change: store.Change, now: float) -> None:
         service = change.key.removeprefix(KEY_PREFIX)
         if change.value is None:
             self._orders.pop(service, None)
@@ -78,7 +78,7 @@
             raw = msgspec.json.decode(change.value, type=_Order)
         except (msgspec.MsgspecError, UnicodeError) as error:
             LOG.error(
-                "rollout passed over",
+                "invalid rollout order ignored",
                 extra={"service": service, "detail": str(error)},
             )
             return
@@ -96,37 +96,37 @@
 
 
 class TopicVerdictLog(verdictlog.VerdictLog):
-    """Keeps what was decided as the newest record under the service.
+    """Stores each verdict as the newest record of its service.
 
     Args:
-        opened: The store.
+        client: Client of the store.
     """
 
-    def __init__(self, opened: store.Store) -> None:
-        self._store = opened
+    def __init__(self, client: store.Store) -> None:
+        self._store = client
 
     async def save(self, verdict: rollout.Verdict) -> rollout.Verdict:
         """See the base class."""
-        found = await self._store.read_newest(STATUS_TOPIC)
-        kept = _find(found.records, verdict)
-        if kept is not None and (
-            kept.state.is_final or kept.state is verdict.state
+        snapshot = await self._store.read_newest(STATUS_TOPIC)
+        saved = _find_saved(snapshot.records, verdict)
+        if saved is not None and (
+            saved.state.is_final or saved.state is verdict.state
         ):
-            return kept
+            return saved
         status = _Status(state=verdict.state, release=verdict.release)
         await self._store.append(
             STATUS_TOPIC,
             KEY_PREFIX + verdict.service,
             msgspec.json.encode(status),
-            found.end,
+            snapshot.end,
         )
         return verdict
 
 
-def _find(
+def _find_saved(
     records: Iterable[store.Change], wanted: rollout.Verdict
 ) -> rollout.Verdict | None:
-    """Returns what is kept on the same release of the same service."""
+    """Returns the saved verdict on the same release of the same service."""
     for record in records:
         if record.key != KEY_PREFIX + wanted.service or record.value is None:
             continue
--- a/ramptray/platform/settings.py
+++ b/ramptray/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays on each VM, decoded."""
+"""Decodes the settings file that the platform writes on each VM."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from ramptray.platform import address
 
 READY_PATH = "/v1/ready"
-"""Path on which the balancer asks whether the VM takes callers."""
+"""Path at which the load balancer asks whether the VM accepts callers."""
 
 
 class SettingsError(Exception):
-    """The settings file cannot be used; one line names file and place."""
+    """Invalid settings file; the message names the file and the field."""
 
 
 class _Wire(msgspec.Struct, frozen=True, kw_only=True):
-    """Base of the file's tables: unknown fields are passed over."""
+    """Base of the file's tables; unknown fields are ignored."""
 
 
 class _Listen(_Wire, frozen=True, kw_only=True):
@@ -43,23 +43,23 @@
     retry_ratio: float = msgspec.field(name="retryBudgetRatio", default=0.2)
     retry_window_s: float = msgspec.field(name="budgetWindowS", default=10.0)
     retry_slack: float = msgspec.field(name="retryBudgetSlack", default=50.0)
-    # Span over which what a customer sends is summed, in seconds.
+    # Span over which a customer's requests are summed, in seconds.
     limit_span_s: float = msgspec.field(name="quotaWindowS", default=0.0)
-    # Part by which the sum over a span may exceed what rate and burst allow.
+    # Fraction by which the sum over a span may exceed rate and burst.
     limit_excess: float = msgspec.field(name="quotaOverage", default=0.0)
-    # Tokens by which it may exceed that in addition.
+    # Additional tokens by which it may exceed them.
     limit_slack: float = msgspec.field(name="quotaSlack", default=0.0)
-    # Part of a service's requests, and requests beyond it, that a release that
-    # is rolled out and turns out bad may get.
+    # Fraction of a service's requests, and additional requests, that a bad
+    # release may get during its rollout.
     rollout_share: float = msgspec.field(name="canaryShare", default=0.1)
     rollout_slack: float = msgspec.field(name="canarySlack", default=0.0)
 
 
-class _Store(_Wire, frozen=True, kw_only=True):
+class _Platform(_Wire, frozen=True, kw_only=True):
     address: str
 
 
-class _File(_Wire, frozen=True, kw_only=True):
+class _SettingsFile(_Wire, frozen=True, kw_only=True):
     node: str
     ip: str
     zone: str
@@ -70,17 +70,17 @@
     zones: dict[str, str] = {}
     limits: _Limits
     bounds: _Bounds = _Bounds()
-    platform: _Store
+    platform: _Platform
 
 
 class LimitTerms(msgspec.Struct, frozen=True):
-    """How what customers send is summed against their limits.
+    """How customers' requests are summed against their limits.
 
     Attributes:
-        span_s: Span over which it is summed, in seconds; 0 where rates and
-            bursts hold by themselves.
-        excess: Part by which a sum may exceed what rate and burst allow.
-        slack: Tokens by which it may exceed that in addition.
+        span_s: Span over which they are summed, in seconds; 0 to apply only
+            rate and burst.
+        excess: Fraction by which a sum may exceed rate and burst.
+        slack: Additional tokens by which it may exceed them.
     """
 
     span_s: float = 0.0
@@ -89,11 +89,11 @@
 
 
 class RolloutTerms(msgspec.Struct, frozen=True):
-    """How much a release that turns out bad may get of its service's requests.
+    """How many of its service's requests a bad release may get.
 
     Attributes:
-        share: As a part of them.
-        slack: Requests beyond that.
+        share: Fraction of the requests.
+        slack: Additional requests.
     """
 
     share: float = 0.1
@@ -105,26 +105,26 @@
 
     Attributes:
         vm: Name of the VM.
-        ip: Its IP number.
+        ip: Its IP address.
         zone: Its availability zone.
         callers: Address on which callers connect.
-        readiness: Address on which the balancer asks whether the VM is ready.
+        readiness: Address on which the load balancer asks whether the VM is
+            ready.
         peers: Address on which other VMs connect.
         seeds: Addresses of up to three VMs; they may be stale.
-        zones: Region of each availability zone; empty where that is not
+        zones: Region of each availability zone; empty if not
             given.
         store: Address of the store.
-        cores: Processor time a second, in seconds of a core.
+        cores: CPU time per second, in core-seconds.
         memory_mb: Memory limit in megabytes.
-        link_mbps: What its link carries, in megabits a second; 0 where that is
-            not given.
+        link_mbps: Bandwidth of its link in megabits per second; 0 if not given.
         first_start: Whether all VMs start for the first time.
-        grace_s: Seconds from a planned stop's signal to the kill.
-        retry_ratio: Further attempts allowed for each request, over all VMs.
-        retry_slack: Further attempts allowed beyond that in a window.
+        grace_s: Seconds from the signal of a planned stop to the kill.
+        retry_ratio: Retries allowed per request, over all VMs.
+        retry_slack: Additional retries allowed in a window.
         retry_window_s: The window's length in seconds.
-        limit_terms: How customers' limits are judged.
-        rollout_terms: How much a release that turns out bad may get.
+        limit_terms: How customers' requests are summed against their limits.
+        rollout_terms: How many requests a bad release may get.
     """
 
     vm: str
@@ -152,11 +152,13 @@
     """Returns the path of the settings file.
 
     Raises:
-        SettingsError: The environment does not name it.
+        SettingsError: The environment variable is not set.
     """
     name = os.environ.get(address.PATH_VARIABLE)
     if not name:
-        raise SettingsError(f"the variable {address.PATH_VARIABLE} is not set")
+        raise SettingsError(
+            f"environment variable {address.PATH_VARIABLE} is not set"
+        )
     return pathlib.Path(name)
 
 
@@ -164,21 +166,21 @@
     """Returns the decoded settings file.
 
     Raises:
-        SettingsError: The file cannot be read or has a mistake.
+        SettingsError: The file cannot be read or is invalid.
     """
     try:
         fields = tomllib.loads(path.read_text())
     except (OSError, tomllib.TOMLDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from error
-    match validation.convert(fields, _File, strict=False):
+    match validation.convert(fields, _SettingsFile, strict=False):
         case Ok(raw):
             return _make_settings(raw)
-        case Err(mistakes):
-            text = validation.format_mistakes(mistakes)
+        case Err(errors):
+            text = validation.format_mistakes(errors)
             raise SettingsError(f"{path}: {text}")
 
 
-def _make_settings(raw: _File) -> VmSettings:
+def _make_settings(raw: _SettingsFile) -> VmSettings:
     return VmSettings(
         vm=raw.node,
         ip=raw.ip,
@@ -189,7 +191,8 @@
         seeds=tuple(raw.seeds),
         zones=raw.zones,
         store=raw.platform.address,
-        # The share is of a core that runs ``cores`` times as fast as usual.
+        # ``cpuShare`` is a fraction of a core that is ``cores`` times as fast
+        # as a reference core.
         cores=raw.limits.cpu_share * raw.limits.cores,
         memory_mb=raw.limits.memory_mb,
         link_mbps=raw.limits.link_mbps,
--- a/ramptray/platform/store.py
+++ b/ramptray/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store: a log with topics, some of them keyed."""
+"""Client of the platform's store, a log with topics, some of them keyed."""
 
 from __future__ import annotations
 
@@ -20,18 +20,22 @@
 LOG = logging.getLogger(__name__)
 
 READ_WAIT_S = 28.0
-"""How long a read waits for a record, in seconds; the store allows 30.  Lost
-reads are found by other means, so only the price of a call counts."""
+"""How long a read waits for a record, in seconds; the store allows 30.
+
+Lost reads are detected separately, so a long wait only reduces the number of
+calls."""
 
 CONNECT_TIMEOUT_S = 1.0
-"""Longest time to open a connection, in seconds."""
+"""Timeout for opening a connection, in seconds."""
 
 USER_TIMEOUT_MS = 3000
-"""How long sent bytes may stay unacknowledged, in milliseconds."""
+"""How long sent bytes may stay unacknowledged, in milliseconds (TCP)."""
 
 KEEP_ALIVE_INTERVAL_S = 1
-"""Silence after which the kernel asks whether the store is still there, and the
-pause between such questions, in seconds; a cut says nothing of itself."""
+"""Idle time before the first TCP keepalive probe, and the interval between
+probes, in seconds.
+
+Without probes, a reader would not detect a network partition."""
 
 RECEIVE_BYTES = 65536
 
@@ -39,11 +43,13 @@
 READ_PATH = "/v1/log-read"
 APPEND_PATH = "/v1/log-append"
 GENERATION_HEADER = "Store-Era"
-"""Which copy of itself the store speaks from; it rises by one each time that it
-comes back from an older one."""
+"""Response header with the store's generation.
+
+The generation rises by one each time the store is restored from an older
+copy."""
 
 WAIT_PARAMETER = "waitMs"
-"""How long a read waits for a record, in milliseconds."""
+"""Query parameter: how long a read waits for a record, in milliseconds."""
 
 _GONE = 410
 _OK = 200
@@ -54,7 +60,7 @@
 
 
 class StoreTimeoutError(StoreError, log_error.LogTimeoutError):
-    """The store did not answer in time."""
+    """The store did not respond in time."""
 
 
 Change = keyedstream.Change
@@ -62,12 +68,11 @@
 
 
 class StoreResponse(msgspec.Struct, frozen=True):
-    """An answer of the store.
+    """Response of the store.
 
     Attributes:
         status: HTTP status.
-        generation: The generation that the store spoke from; 0 where it does
-            not tell.
+        generation: The store's generation; 0 if the response names none.
         body: The body.
     """
 
@@ -79,20 +84,21 @@
 OnBytes = Callable[[], None]
 
 
-def _note_nothing() -> None:
-    """Stands in where nobody asks how an answer comes along."""
+def _ignore_bytes() -> None:
+    """Default for ``on_bytes``."""
 
 
 class Store:
-    """Reads the topics of the store, and adds records to them.
+    """Reads topics of the store and appends records to them.
 
-    Places in topics are those of ``platform.stream_position``.
+    Offsets in the arguments and results are positions as defined in
+    ``platform.stream_position``.
 
     Args:
         address: IP number and port of the store.
 
     Attributes:
-        generation: The latest generation that the store has spoken from.
+        generation: The latest generation named by a response.
     """
 
     def __init__(self, address: str) -> None:
@@ -101,20 +107,20 @@
         self._listeners: list[Callable[[], None]] = []
 
     def add_rollback_listener(self, listener: Callable[[], None]) -> None:
-        """Has a listener told when the store is back from an older copy."""
+        """Registers a callback for when the store returns with older data."""
         self._listeners.append(listener)
 
     async def read_newest(
-        self, topic: str, on_bytes: OnBytes = _note_nothing
+        self, topic: str, on_bytes: OnBytes = _ignore_bytes
     ) -> Changes:
         """Returns the newest record of each key.
 
         Args:
             topic: The topic.
-            on_bytes: Called whenever bytes of an answer have come.
+            on_bytes: Called whenever bytes of a response arrive.
 
         Raises:
-            StoreError: There is no answer.
+            StoreError: The store did not respond, or rejected the call.
         """
         records: list[Change] = []
         after: str | None = None
@@ -124,15 +130,18 @@
             query = {"topic": topic, "part": "0"}
             if after is not None:
                 query["after"] = after
-            reply = await self._ask(
+            response = await self._request(
                 NEWEST_PATH, query, log_reader.CALL_TIMEOUT_S, on_bytes
             )
-            if generation not in (None, reply.generation):
-                raise StoreError("the store came back older between two pages")
-            generation = reply.generation
-            found = page.decode_newest(reply.body)
-            # Pages are no snapshot: what changes meanwhile is read again.
-            end = stream_position.make_position(generation, found.end)
+            if generation not in (None, response.generation):
+                raise StoreError(
+                    "the store was restored from an older copy between pages"
+                )
+            generation = response.generation
+            decoded = page.decode_newest(response.body)
+            # Pages are not one consistent snapshot.  Returning the end of the
+            # first page lets later changes be read again.
+            end = stream_position.make_position(generation, decoded.end)
             first_end = end if first_end is None else first_end
             records.extend(
                 Change(
@@ -140,11 +149,11 @@
                     page.decode_value(item.value),
                     stream_position.make_position(generation, item.offset),
                 )
-                for item in found.items
+                for item in decoded.items
             )
-            if not found.more or not found.items:
+            if not decoded.more or not decoded.items:
                 return Changes(records, first_end)
-            after = found.items[-1].key
+            after = decoded.items[-1].key
 
     async def read_changes(
         self,
@@ -152,22 +161,22 @@
         offset: int,
         wait_s: float = READ_WAIT_S,
         timeout_s: float = READ_WAIT_S + log_reader.RESPONSE_MARGIN_S,
-        on_bytes: OnBytes = _note_nothing,
+        on_bytes: OnBytes = _ignore_bytes,
     ) -> Changes:
-        """Returns records from an offset on, waiting if there are none.
+        """Returns the records from an offset on; waits if there are none.
 
         Args:
             topic: The topic.
-            offset: Place of the first record wanted.
-            wait_s: How long to wait for a record; 0 for not at all.
-            timeout_s: How long the answer may take to begin, in seconds.
-            on_bytes: Called whenever bytes of the answer have come.
+            offset: Position of the first record to read.
+            wait_s: How long to wait for a record; 0 to return at once.
+            timeout_s: Timeout for the start of the response, in seconds.
+            on_bytes: Called whenever bytes of the response arrive.
 
         Raises:
-            TrimmedError: Some of them are not kept any more, or the place is of
-                an earlier generation.
-            StoreTimeoutError: There is no answer in time.
-            StoreError: The store turned the call away.
+            TrimmedError: Some of them are no longer retained, or the position
+                is of an earlier generation.
+            StoreTimeoutError: The store did not respond in time.
+            StoreError: The store rejected the call.
         """
         query = {
             "topic": topic,
@@ -175,40 +184,42 @@
             "from": str(stream_position.get_offset(offset)),
             WAIT_PARAMETER: str(int(wait_s * 1000)),
         }
-        reply = await self._ask(READ_PATH, query, timeout_s, on_bytes)
-        if reply.generation != stream_position.get_generation(offset):
-            # What stands at that offset now is not what follows.
-            raise TrimmedError(f"the store is back from an older copy: {topic}")
-        return page.decode_records(reply.body, offset)
+        response = await self._request(READ_PATH, query, timeout_s, on_bytes)
+        if response.generation != stream_position.get_generation(offset):
+            # The record now at that offset does not follow those already read.
+            raise TrimmedError(
+                f"{topic}: the store was restored from an older copy"
+            )
+        return page.decode_records(response.body, offset)
 
     async def append(
         self, topic: str, key: str, value: bytes, end: int | None = None
     ) -> None:
-        """Adds a record to a keyed topic.
+        """Appends a record to a keyed topic.
 
         Args:
             topic: The topic.
             key: The record's key.
             value: Its value.
-            end: Where the topic must end for the record to be added; None for
-                anywhere.
+            end: Expected end of the topic; the store rejects the call if the
+                end differs. None to append in any case.
 
         Raises:
-            StoreError: It may not have been added.
+            StoreError: The record may not have been appended.
         """
         record = bytes([len(key)]) + key.encode() + value
         query = {"topic": topic, "part": "0"}
         if end is not None:
             query["asOf"] = str(stream_position.get_offset(end))
-        await self._ask(
+        await self._request(
             APPEND_PATH,
             query,
             log_reader.CALL_TIMEOUT_S,
-            _note_nothing,
+            _ignore_bytes,
             page.RECORD_LENGTH.pack(len(record)) + record,
         )
 
-    async def _ask(
+    async def _request(
         self,
         path: str,
         query: dict[str, str],
@@ -216,17 +227,17 @@
         on_bytes: OnBytes,
         sent: bytes | None = None,
     ) -> StoreResponse:
-        """Makes one call; returns its answer.
+        """Makes one call and returns the response.
 
         Args:
-            path: The call.
-            query: Its parameters.
-            timeout_s: How long the answer may take to begin, in seconds.
-            on_bytes: Called whenever bytes of the answer have come.
-            sent: The body of a call that writes; None for one that reads.
+            path: Path of the call.
+            query: Query parameters.
+            timeout_s: Timeout for the start of the response, in seconds.
+            on_bytes: Called whenever bytes of the response arrive.
+            sent: Body of a POST request; None for a GET request.
         """
         target = f"{path}?{urllib.parse.urlencode(query)}"
-        reply: StoreResponse | None = None
+        response: StoreResponse | None = None
         try:
             with anyio.move_on_after(timeout_s) as scope:
 
@@ -235,7 +246,7 @@
                     scope.deadline = max(scope.deadline, stalls_at)
                     on_bytes()
 
-                reply = await self._call(target, extend, sent)
+                response = await self._call(target, extend, sent)
         except TimeoutError as error:
             raise StoreTimeoutError(f"{path}: no connection") from error
         except (
@@ -245,24 +256,24 @@
             h11.RemoteProtocolError,
         ) as error:
             raise StoreError(f"{path}: {error!r}") from error
-        if reply is None:
-            # Not told by the scope's deadline: late bytes may have moved it.
+        if response is None:
+            # The scope's deadline cannot tell: late bytes may have extended it.
             raise StoreTimeoutError(f"{path}: no answer in time")
-        self._note_generation(path, reply.generation)
-        if reply.status == _GONE:
-            raise TrimmedError(f"{path}: status {reply.status}")
-        if reply.status != _OK:
-            raise StoreError(f"{path}: status {reply.status}")
-        return reply
+        self._update_generation(path, response.generation)
+        if response.status == _GONE:
+            raise TrimmedError(f"{path}: status {response.status}")
+        if response.status != _OK:
+            raise StoreError(f"{path}: status {response.status}")
+        return response
 
-    def _note_generation(self, path: str, generation: int) -> None:
-        """Takes the generation of an answer.
+    def _update_generation(self, path: str, generation: int) -> None:
+        """Records the generation of a response.
 
         Raises:
-            StoreError: The answer is of a generation that is over.
+            StoreError: The response is of an earlier generation.
         """
         if generation < self.generation:
-            raise StoreError(f"{path}: an answer of an earlier generation")
+            raise StoreError(f"{path}: response of an earlier generation")
         former, self.generation = self.generation, generation
         if former and generation > former:
             LOG.warning(
@@ -275,10 +286,10 @@
     async def _call(
         self, target: str, on_bytes: OnBytes, sent: bytes | None
     ) -> StoreResponse:
-        """Sends one request on a connection of its own.
+        """Sends one request on a new connection.
 
-        A connection that has lost an answer never says anything again, so none
-        is used twice; calls are few.
+        Connections are not reused: one on which a response was lost stays
+        silent forever, and calls are infrequent.
         """
         host, _, port = self._address.rpartition(":")
         http = h11.Connection(h11.CLIENT)
@@ -299,7 +310,7 @@
                 data += http.send(h11.Data(data=sent)) or b""
             data += http.send(h11.EndOfMessage()) or b""
             await stream.send(data)
-            return await _read_answer(http, stream, on_bytes)
+            return await _read_response(http, stream, on_bytes)
 
 
 def _set_keep_alive(stream: anyio.abc.SocketStream) -> None:
@@ -313,7 +324,7 @@
         raw.setsockopt(level, option, value)
 
 
-async def _read_answer(
+async def _read_response(
     http: h11.Connection, stream: anyio.abc.SocketStream, on_bytes: OnBytes
 ) -> StoreResponse:
     status = 0
@@ -329,24 +340,26 @@
                 http.receive_data(b"")
         elif isinstance(event, h11.Response):
             status = event.status_code
-            generation = _read_generation(event.headers)
+            generation = _parse_generation(event.headers)
         elif isinstance(event, h11.Data):
             parts.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             return StoreResponse(status, generation, b"".join(parts))
         else:
-            raise StoreError("the store closed without an answer")
+            raise StoreError(
+                "the store closed the connection without a response"
+            )
 
 
-def _read_generation(headers: Iterable[tuple[bytes, bytes]]) -> int:
-    """Returns the generation that an answer names.
+def _parse_generation(headers: Iterable[tuple[bytes, bytes]]) -> int:
+    """Returns the generation named by a response, 0 if there is none.
 
     Raises:
-        StoreError: It names none that makes sense.
+        StoreError: The generation is invalid.
     """
     text = dict(headers).get(GENERATION_HEADER.lower().encode())
     if text is None:
         return 0
     if not text.isdigit() or int(text) > stream_position.MAX_GENERATION:
-        raise StoreError(f"not a generation: {text!r}")
+        raise StoreError(f"invalid generation: {text!r}")
     return int(text)
--- a/ramptray/platform/topic.py
+++ b/ramptray/platform/topic.py
@@ -1,4 +1,4 @@
-"""Reads one keyed topic of the store."""
+"""Follows one keyed topic of the store."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 from ramptray.log import reader as log_reader
 from ramptray.platform import store
 
-TakeChanges = Callable[[store.Changes, bool], None]
+ApplyChanges = Callable[[store.Changes, bool], None]
 
 
 class TopicReader(log_reader.StreamReader[store.Changes]):
-    """Follows one topic: its newest records, then each change as it comes.
+    """Reads the newest record of each key of a topic, then each change.
 
     Args:
-        opened: The store.
+        client: Client of the store.
         topic: The topic's name.
-        take_changes: Called with what was read, and whether that is all there
-            is.
-        on_trouble: Called each time that the store does not answer.
+        apply_changes: Called with the changes read, and whether they are a
+            snapshot of the whole topic.
+        on_outage: Called each time that the store does not respond.
 
     Attributes:
-        mirror: What is held of the topic, for other VMs.
+        mirror: Copy of the topic, from which other VMs are served.
     """
 
     def __init__(
         self,
-        opened: store.Store,
+        client: store.Store,
         topic: str,
-        take_changes: TakeChanges,
-        on_trouble: Callable[[], None],
+        apply_changes: ApplyChanges,
+        on_outage: Callable[[], None],
     ) -> None:
         super().__init__(topic, store.READ_WAIT_S, follows_peers=True)
         self.mirror = mirror.Mirror()
-        self._store = opened
-        self._take_changes = take_changes
-        self._on_trouble = on_trouble
+        self._store = client
+        self._apply_changes = apply_changes
+        self._on_outage = on_outage
 
     async def read_first(self) -> store.Changes:
         """See the base class."""
@@ -53,7 +53,7 @@
     async def apply_page(self, page: store.Changes, first: bool) -> None:
         """See the base class."""
         self.mirror.apply(page, first)
-        self._take_changes(page, first)
+        self._apply_changes(page, first)
 
     def get_end(self, page: store.Changes) -> int:
         """See the base class."""
@@ -65,4 +65,4 @@
 
     def record_outage(self) -> None:
         """See the base class."""
-        self._on_trouble()
+        self._on_outage()
