--- a/ramptray/platform/config.py
+++ b/ramptray/platform/config.py
@@ -81,7 +81,7 @@
 
 
 class _Engine(_Wire, frozen=True, kw_only=True):
-    slots: model.EnginePlaces
+    slots: model.EngineSlots
     kv_tokens: model.PositiveInt = msgspec.field(
         name="kvTokens", default=UNBOUNDED_KV_TOKENS
     )
@@ -176,8 +176,8 @@
             self._decoded = {}
             # Decodes the whole again for an error that names each field.
             match validation.convert(fields, _Config, strict=False):
-                case Err(errors):
-                    text = validation.format_mistakes(errors)
+                case Err(violations):
+                    text = validation.format_violations(violations)
                     raise ConfigError(text) from error
                 case Ok(_):
                     raise ConfigError(str(error)) from error
--- a/ramptray/platform/settings.py
+++ b/ramptray/platform/settings.py
@@ -175,8 +175,8 @@
     match validation.convert(fields, _SettingsFile, strict=False):
         case Ok(raw):
             return _make_settings(raw)
-        case Err(errors):
-            text = validation.format_mistakes(errors)
+        case Err(violations):
+            text = validation.format_violations(violations)
             raise SettingsError(f"{path}: {text}")
 
 
