--- a/ramptray/log/reader.py
+++ b/ramptray/log/reader.py
@@ -111,7 +111,7 @@
         self.on_advance: Callable[[], None] = _do_nothing
         self.on_answer: Callable[[], None] = _do_nothing
         self._longest_wait_s = longest_wait_s
-        self._gather_s = batch_delay_s
+        self._batch_delay_s = batch_delay_s
         self._watching = False
         self._follows_peers = follows_peers
         self._watching_started = anyio.Event()
@@ -182,7 +182,7 @@
                 await self._watching_started.wait()
             try:
                 self._read_started_at = steadyclock.read()
-                found = await self._read()
+                page = await self._read()
             except log_error.LogTrimmedError as error:
                 LOG.info("records no longer retained: %s", error)
                 self._end = None
@@ -192,7 +192,7 @@
                 pause_s = min(pause_s * 2, MAX_RETRY_S)
             else:
                 pause_s = RETRY_S
-                if found is not None and self.count_records(found):
+                if page is not None and self.count_records(page):
                     await self._wait_for_batch()
 
     def set_watching(self, watching: bool) -> None:
@@ -316,23 +316,23 @@
         """Returns the next records; None if the read was abandoned."""
         offset = self._end
         if offset is None:
-            found = await self._hedged_call.run(self.read_first)
+            page = await self._hedged_call.run(self.read_first)
         elif self.in_outage or self._poll_at_once:
-            found = await self._hedged_call.run(
+            page = await self._hedged_call.run(
                 lambda: self.read_from(offset, 0.0, CALL_TIMEOUT_S)
             )
         else:
             waited = await self._long_poll(offset)
             if waited is None:
                 return None
-            found = waited
-        if self.get_end(found) < (self._end or 0) and self.count_records(found):
+            page = waited
+        if self.get_end(page) < (self._end or 0) and self.count_records(page):
             # Another VM sent later records before the answer arrived.
             return None
         self.origin = LOG_ORIGIN
-        await self.apply_page(found, offset is None)
-        self._record_answer(offset, found)
-        return found
+        await self.apply_page(page, offset is None)
+        self._record_answer(offset, page)
+        return page
 
     async def _long_poll(self, offset: int) -> PageT | None:
         """Waits for records; returns None if the read was abandoned."""
@@ -356,7 +356,7 @@
                 self._pending_read = None
 
     async def _wait_for_batch(self) -> None:
-        await anyio.sleep(self._gather_s)
+        await anyio.sleep(self._batch_delay_s)
         if self._watching:
             # By now all VMs whose read was not lost have these records too.
             self.on_advance()
@@ -398,10 +398,10 @@
             },
         )
 
-    def _record_answer(self, offset: int | None, found: PageT) -> None:
+    def _record_answer(self, offset: int | None, page: PageT) -> None:
         now = steadyclock.read()
-        end = self.get_end(found)
-        records = self.count_records(found)
+        end = self.get_end(page)
+        records = self.count_records(page)
         if records or self._poll_at_once or self.in_outage:
             LOG.info(
                 "log read",
