--- a/test/test_mirror.py
+++ b/test/test_mirror.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from ramptray.log import keyedstream, mirror
@@ -147,6 +147,16 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(STEPS)
+# The sender's large former value is one that the receiver never held.
+@example(
+    [
+        ("b", b"large 0 " * 400),
+        ("b", b"small"),
+        "update",
+        ("b", b"large 0 " * 400),
+        "update",
+    ]
+)
 def test_a_receiver_holds_the_same_records(steps: list[Any]) -> None:
     sender, receiver, count = make_mirror(), mirror.Mirror(), 0
     for step in steps:
