--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -118,7 +118,7 @@
         )
         self._budget = budget or retry.RetryBudget()
         self.on_silent_owner: Callable[[str], None] = _ignore_owner
-        self._learner = acceptance.Learner()
+        self._learner = acceptance.BundleTracker()
         self._has_work = anyio.Event()
         self._task_group: anyio.abc.TaskGroup | None = None
         self._lag = lag.TickLag(TICK_INTERVAL_S)
@@ -199,7 +199,7 @@
             case tickets.FirstTokenReceived(first):
                 self.backends.record_answer(machine.backend, now)
                 if machine.owner:
-                    self._send(machine.owner, self._lag.exclude(first))
+                    self._send(machine.owner, self._lag.exclude_lag(first))
                 self.timeline.note(
                     "first_token",
                     first.request_id,
@@ -475,9 +475,9 @@
         self._apply_effects(ticket, effects, now)
 
     def _apply_view(self, view: peer_message.View, now: float) -> None:
-        known = self._owners.apply_view(view)
+        addresses = self._owners.apply_view(view)
         self.backends.apply_view(view)
-        for address in set(self._links) - known - {self._local_scheduler}:
+        for address in set(self._links) - addresses - {self._local_scheduler}:
             self._links.pop(address).stop()
             self._owners.remove(address)
         self._open_owner_links(now)
@@ -499,7 +499,7 @@
                     self._open_link(owner)
 
     def _apply_bundle(self, address: str, envelope: signature.Envelope) -> None:
-        if self._learner.learn(envelope):
+        if self._learner.apply_peer_bundle(envelope):
             assert self._learner.in_force is not None
             self.backends.apply_bundle(self._learner.in_force)
             generation = self._learner.in_force.generation
@@ -573,7 +573,7 @@
 
     def _back_off_silent_owners(self, now: float) -> None:
         """Reassigns the waiting requests of owners that do not reply."""
-        silent = {
+        silent_owners = {
             ticket.machine.owner
             for ticket in self._tickets.values()
             if ticket.machine.state is request.State.WAITING
@@ -584,7 +584,7 @@
         }
         backed_off = [
             owner
-            for owner in silent
+            for owner in silent_owners
             if owner is not None and self._owners.back_off(owner, now)
         ]
         for owner in backed_off:
--- a/ramptray/entry/exchange.py
+++ b/ramptray/entry/exchange.py
@@ -163,7 +163,7 @@
                     resume_until = max(resume_until, self._ticket.deadline)
                     await self._forward(events)
                     return
-            except engine_client.GoneError:
+            except engine_client.UnknownStreamError:
                 self._report_lost(message.Reason.BACKEND_LOST)
                 return
             except engine_client.NotSentError:
--- a/ramptray/log/mirror.py
+++ b/ramptray/log/mirror.py
@@ -166,7 +166,9 @@
         if self._packed_stream is None or self._packed_stream[0] != end:
             records = [self._pack_record(c, -1) for c in self._records.values()]
             records.sort(key=lambda record: record.position)
-            packed = delta.pack(b"", _RECORDS_ENCODER.encode(records))
+            packed = delta.make_binary_delta(
+                b"", _RECORDS_ENCODER.encode(records)
+            )
             self._packed_stream = (end, packed)
         return self._packed_stream[1]
 
@@ -188,7 +190,9 @@
         cache_key = (change.key, change.position, base.position if base else -1)
         if cache_key not in self._packed_values:
             former = base.value if base else b""
-            self._packed_values[cache_key] = delta.pack(former, value)
+            self._packed_values[cache_key] = delta.make_binary_delta(
+                former, value
+            )
             while len(self._packed_values) > MAX_PACKED_VALUES:
                 self._packed_values.popitem(last=False)
         return peer_message.StreamRecord(
@@ -206,7 +210,7 @@
         if packed is None or record.digest is None:
             return keyedstream.Change(record.key, packed, record.position)
         try:
-            value = delta.unpack(self._find_base(record), packed)
+            value = delta.apply_binary_delta(self._find_base(record), packed)
         except delta.DeltaError as error:
             raise MirrorError(f"{record.key}: {error}") from error
         if xxhash.xxh3_64_intdigest(value) != record.digest:
@@ -233,6 +237,6 @@
         MirrorError: The packed stream is damaged.
     """
     try:
-        return _RECORDS_DECODER.decode(delta.unpack(b"", packed))
+        return _RECORDS_DECODER.decode(delta.apply_binary_delta(b"", packed))
     except (delta.DeltaError, msgspec.MsgspecError) as error:
         raise MirrorError(f"packed stream: {error}") from error
