--- a/ramptray/engine/client.py
+++ b/ramptray/engine/client.py
@@ -213,7 +213,7 @@
             "pool": CONNECT_TIMEOUT_S,
             "read": READ_TIMEOUT_S,
         }
-        with httperror.turn_errors(url, NotSentError, BrokenError):
+        with httperror.translate_errors(url, NotSentError, BrokenError):
             async with self._get_pool(url).stream(
                 method,
                 url.rstrip("/") + path,
