--- a/ramptray/bundle/parsing.py
+++ b/ramptray/bundle/parsing.py
@@ -117,18 +117,19 @@
 
 
 def _check_backend_servers(bundle: model.Bundle) -> list[Violation]:
-    references: list[tuple[str, Any]] = [
-        ("zone", bundle.zones),
-        ("service", bundle.services),
-        ("engine", bundle.engines),
+    references: list[tuple[str, str, Any]] = [
+        ("zone", "a zone", bundle.zones),
+        ("service", "a service", bundle.services),
+        ("engine", "an engine", bundle.engines),
     ]
     return [
         Violation(
             f"backend_servers.{name}.{field}",
-            f"unknown {field} {getattr(server, field)!r}",
+            f"expected {expected} of this bundle, "
+            f"found {getattr(server, field)!r}",
         )
         for name, server in bundle.backend_servers.items()
-        for field, known in references
+        for field, expected, known in references
         if getattr(server, field) not in known
     ]
 
--- a/test/test_conformance.py
+++ b/test/test_conformance.py
@@ -164,8 +164,8 @@
         count += 1
         tracker = replay_bundle_trace(trace, envelopes)
         view = tracker.log_view
-        letter = digests[view.envelope.digest] if view else ""
-        assert letter == (state.reader if state.joined else ""), trace
+        found = digests[view.envelope.digest] if view else ""
+        assert found == (state.reader if state.joined else ""), trace
     assert count > 500
 
 
