--- a/ramptray/bundle/acceptance.py
+++ b/ramptray/bundle/acceptance.py
@@ -115,15 +115,15 @@
         self._trust = trust
         self.next_offset = 0
         self.statuses: dict[str, RolloutStatus] = {}
-        self._log_view: InForce | None = None
+        self._log_in_force: InForce | None = None
         self._first_offset = 0
         # Records held until a checkpoint supplies the history before them.
         self._pending_records: list[tuple[int, Record]] | None = None
 
     @property
-    def log_view(self) -> InForce | None:
+    def log_in_force(self) -> InForce | None:
         """The bundle in force according to the records read, without peers."""
-        return self._log_view
+        return self._log_in_force
 
     @property
     def first_offset(self) -> int:
@@ -140,7 +140,7 @@
             return
         self.next_offset = offset
         self._first_offset = offset
-        self._log_view = None
+        self._log_in_force = None
         self._pending_records = []
 
     def apply(self, offset: int, record: Record) -> RolloutStatus:
@@ -179,7 +179,7 @@
             return RolloutStatus.NO_HISTORY
         replay = self._pending_records
         self._pending_records = None
-        self._log_view = candidate
+        self._log_in_force = candidate
         self.advance_to(candidate)
         for replayed_offset, replayed in replay:
             if isinstance(replayed, Checkpoint):
@@ -198,13 +198,13 @@
         return status
 
     def _apply_delta(self, record: DeltaRollout) -> RolloutStatus:
-        view = self._log_view
-        if view is not None and record.digest == view.envelope.digest:
+        current = self._log_in_force
+        if current is not None and record.digest == current.envelope.digest:
             return RolloutStatus.REPEATED
-        if view is None or record.base != view.envelope.digest:
+        if current is None or record.base != current.envelope.digest:
             return RolloutStatus.WRONG_BASE
         try:
-            full_text = delta.apply_delta(view.envelope.text, record.delta)
+            full_text = delta.apply_delta(current.envelope.text, record.delta)
         except delta.DeltaError:
             return RolloutStatus.INVALID
         envelope = signature.Envelope(full_text, record.signatures)
@@ -216,19 +216,19 @@
         candidate = _parse(envelope)
         if candidate is None:
             return RolloutStatus.INVALID
-        view = self._log_view
-        if view is not None and envelope.digest == view.envelope.digest:
+        current = self._log_in_force
+        if current is not None and envelope.digest == current.envelope.digest:
             return RolloutStatus.REPEATED
-        base = view.envelope.digest if view else None
-        generation = view.generation + 1 if view else 1
+        base = current.envelope.digest if current else None
+        generation = current.generation + 1 if current else 1
         extends_base = candidate.bundle.base == base
         if not extends_base or candidate.generation != generation:
             return RolloutStatus.WRONG_BASE
-        operators = view.bundle.operators if view else self._trust
+        operators = current.bundle.operators if current else self._trust
         valid_signatures = signature.count_valid(envelope, operators.keys)
         if valid_signatures < operators.signatures_required:
             return RolloutStatus.BAD_SIGNATURE
-        self._log_view = candidate
+        self._log_in_force = candidate
         self.advance_to(candidate)
         return RolloutStatus.ACCEPTED
 
--- a/ramptray/caller/app.py
+++ b/ramptray/caller/app.py
@@ -18,8 +18,8 @@
 from ramptray import steadyclock
 from ramptray.bundle import model
 from ramptray.caller import (
+    authentication,
     completion,
-    intake,
     plain,
     refusal,
     response_cache,
@@ -95,7 +95,7 @@
         )
 
     async def _complete(self, http: requests.Request) -> responses.Response:
-        match await intake.read_request(
+        match await authentication.read_request(
             http, self._dispatcher, self._settings.limits
         ):
             case Err(error_response):
@@ -203,7 +203,7 @@
         return f"{self._settings.vm}-{self._instance_id}-{next(self._numbers)}"
 
     async def _list_models(self, http: requests.Request) -> responses.Response:
-        match intake.authenticate(http, self._dispatcher):
+        match authentication.authenticate(http, self._dispatcher):
             case Err(error_response):
                 return error_response
             case Ok(authenticated):
--- a/ramptray/caller/intake.py
+++ b/ramptray/caller/authentication.py
@@ -1,4 +1,4 @@
-"""First steps of every request: bundle, authentication and body."""
+"""Authenticates callers' requests and reads their bodies."""
 
 from __future__ import annotations
 
--- a/ramptray/caller/plain.py
+++ b/ramptray/caller/plain.py
@@ -12,7 +12,7 @@
 from ramptray import settings as settings_module
 from ramptray import steadyclock
 from ramptray.bundle import model
-from ramptray.caller import intake, refusal, response_cache
+from ramptray.caller import authentication, refusal, response_cache
 from ramptray.caller import metrics as caller_metrics
 from ramptray.caller import request as caller_request
 from ramptray.core import message, request
@@ -56,7 +56,7 @@
 
     async def serve(self, http: requests.Request) -> responses.Response:
         """Serves one call."""
-        match await intake.read_request(
+        match await authentication.read_request(
             http, self._dispatcher, self._settings.limits
         ):
             case Err(error_response):
@@ -85,7 +85,7 @@
     async def _exchange(
         self,
         http: requests.Request,
-        authenticated: intake.AuthenticatedRequest,
+        authenticated: authentication.AuthenticatedRequest,
         parsed_request: caller_request.ParsedRequest,
     ) -> responses.Response:
         service = authenticated.bundle.services[
--- a/ramptray/command/rollout.py
+++ b/ramptray/command/rollout.py
@@ -88,7 +88,7 @@
     began = steadyclock.read()
     log = log_client.HttpLog(given.platform)
     reader = await _read_log(log, given)
-    view = reader.log_view
+    view = reader.log_in_force
     record = bundle_record.format_record(
         bundle_record.make_rollout(envelope, view.envelope if view else None)
     )
--- a/ramptray/scheduler/follower.py
+++ b/ramptray/scheduler/follower.py
@@ -201,7 +201,7 @@
 
     def _needs_older_records(self, first_retained: int) -> bool:
         """Returns whether skipped records are needed to find a valid bundle."""
-        has_no_view = self._acceptance.log_view is None
+        has_no_view = self._acceptance.log_in_force is None
         return has_no_view and self._acceptance.first_offset > first_retained
 
     async def _append_checkpoint_if_due(self) -> None:
@@ -213,7 +213,7 @@
         one to reach its number appends the checkpoint; the others reset their
         counts when they read it.
         """
-        view = self._acceptance.log_view
+        view = self._acceptance.log_in_force
         if view is None or self._since_checkpoint < self._checkpoint_due:
             return
         self._reset_checkpoint_count()
--- a/test/test_conformance.py
+++ b/test/test_conformance.py
@@ -163,7 +163,7 @@
             continue
         count += 1
         tracker = replay_bundle_trace(trace, envelopes)
-        view = tracker.log_view
+        view = tracker.log_in_force
         found = digests[view.envelope.digest] if view else ""
         assert found == (state.reader if state.joined else ""), trace
     assert count > 500
