--- a/test/test_adapter.py
+++ b/test/test_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's configuration, records, settings and headers, decoded."""
+"""Tests decoding of the platform's configuration, records and headers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from test import node
 
 
-def test_a_configuration_becomes_a_bundle() -> None:
+def test_configuration_is_decoded_into_bundle() -> None:
     bundle = config.parse_config(json.dumps(node.make_config(12)))
     assert bundle.generation == 12
     assert bundle.get_customer_by_key(node.KEY) == "ola"
@@ -39,7 +39,7 @@
     assert bundle.relay.idle_s == 4.0
 
 
-def test_a_customer_s_rank_goes_before_the_route_s() -> None:
+def test_customer_rank_takes_precedence_over_route_rank() -> None:
     raw = node.make_config(1)
     raw["routes"][0]["priority"] = 2
     raw["tenants"][0]["priority"] = 1
@@ -51,14 +51,14 @@
     assert ranks[other] < ranks[high] < ranks[tier]
 
 
-def test_a_customer_without_keys_is_left_out() -> None:
+def test_customer_without_keys_is_omitted() -> None:
     raw = node.make_config(1)
     raw["tenants"][0]["apiKeys"] = []
     bundle = config.parse_config(json.dumps(raw))
     assert "ola" not in bundle.customers
 
 
-def test_a_mistake_in_a_configuration_names_its_place() -> None:
+def test_configuration_error_names_field() -> None:
     raw = node.make_config(1)
     del raw["routes"][1]["timeoutMs"]
     with pytest.raises(config.ConfigError, match=r"routes\.1\.timeoutMs"):
@@ -67,18 +67,18 @@
         config.parse_config("{")
 
 
-def test_a_mistake_in_a_customer_s_keys_does_not_tell_the_key() -> None:
+def test_error_in_customer_keys_does_not_reveal_key() -> None:
     raw = node.make_config(1)
     raw["tenants"][0]["apiKeys"] = "secret-key"
     with pytest.raises(
         config.ConfigError, match=r"tenants\.0\.apiKeys"
-    ) as told:
+    ) as caught:
         config.parse_config(json.dumps(raw))
-    assert "secret" not in str(told.value)
+    assert "secret" not in str(caught.value)
 
 
 @pytest.mark.parametrize(
-    ("place", "value"),
+    ("field", "value"),
     [
         ("kind", "awaiting_reply of"),
         ("timeoutMs", 0),
@@ -87,23 +87,21 @@
         ("name", ""),
     ],
 )
-def test_a_route_that_makes_no_sense_names_its_place(
-    place: str, value: object
-) -> None:
+def test_error_in_route_names_field(field: str, value: object) -> None:
     raw = node.make_config(1)
-    raw["routes"][2][place] = value
-    with pytest.raises(config.ConfigError, match=rf"routes\.2\.{place}"):
+    raw["routes"][2][field] = value
+    with pytest.raises(config.ConfigError, match=rf"routes\.2\.{field}"):
         config.parse_config(json.dumps(raw))
 
 
-def test_a_route_that_leads_nowhere_is_a_mistake() -> None:
+def test_route_without_service_is_rejected() -> None:
     raw = node.make_config(1)
     del raw["routes"][2]["service"]
     with pytest.raises(config.ConfigError, match="stream leads to no service"):
         config.parse_config(json.dumps(raw))
 
 
-def test_only_what_has_changed_in_a_configuration_is_made_anew() -> None:
+def test_unchanged_routes_are_reused() -> None:
     parser = config.ConfigParser()
     raw = node.make_config(1)
     before = parser.parse(json.dumps(raw))
@@ -122,7 +120,7 @@
     assert parser.parse(json.dumps(node.make_config(3))).generation == 3
 
 
-def test_settings_name_file_and_place_of_a_mistake(
+def test_settings_error_names_file_and_field(
     tmp_path: pathlib.Path,
 ) -> None:
     path = tmp_path / "node.toml"
@@ -134,22 +132,22 @@
         settings.read_settings(path)
 
 
-def read(
+def parse_request(
     *headers: tuple[str, str],
 ) -> message.CallerRequest | message.InvalidRequest:
-    """Returns what the adapter makes of a request with these headers."""
+    """Returns the parsed request with these headers, or the error."""
     head = message.RequestHead(
         b"POST", b"/a/", [(n.encode(), v.encode()) for n, v in headers]
     )
     match header.PlatformDialect().parse_request(head):
-        case Ok(asked):
-            return asked
-        case Err(mistake):
-            return mistake
+        case Ok(request):
+            return request
+        case Err(error):
+            return error
 
 
-def test_a_request_s_headers_are_decoded() -> None:
-    asked = read(
+def test_request_headers_are_decoded() -> None:
+    request = parse_request(
         ("Host", "LM.example:80"),
         ("X-Request-Id", "r1"),
         ("X-Token-Count", "1460,80"),
@@ -160,11 +158,15 @@
         ("Connection", "close, x-mine, x-token-count"),
         ("X-Mine", "1"),
     )
-    assert isinstance(asked, message.CallerRequest)
-    assert (asked.host, asked.key, asked.deadline_s) == ("lm.example", "k", 1.5)
-    assert (asked.prompt_tokens, asked.output_tokens) == (1460, 80)
-    assert asked.likely_tokens == 33
-    names = [name.lower() for name, _ in asked.headers]
+    assert isinstance(request, message.CallerRequest)
+    assert (request.host, request.key, request.deadline_s) == (
+        "lm.example",
+        "k",
+        1.5,
+    )
+    assert (request.prompt_tokens, request.output_tokens) == (1460, 80)
+    assert request.likely_tokens == 33
+    names = [name.lower() for name, _ in request.headers]
     assert names == [
         b"host",
         b"x-request-id",
@@ -185,12 +187,12 @@
         ],
     ],
 )
-def test_requests_without_one_meaning_are_refused(
+def test_ambiguous_requests_are_rejected(
     headers: list[tuple[str, str]],
 ) -> None:
-    mistake = read(*headers)
-    assert isinstance(mistake, message.InvalidRequest)
-    assert mistake.status == 400
+    error = parse_request(*headers)
+    assert isinstance(error, message.InvalidRequest)
+    assert error.status == 400
 
 
 @pytest.mark.parametrize(
@@ -202,14 +204,14 @@
         (500, [], False),
     ],
 )
-def test_only_a_replica_s_word_says_not_run(
+def test_not_run_requires_explicit_response(
     status: int, headers: message.Headers, not_run: bool
 ) -> None:
-    answer = header.PlatformDialect().parse_response_head(status, headers)
-    assert answer.not_run is not_run
+    response = header.PlatformDialect().parse_response_head(status, headers)
+    assert response.not_run is not_run
 
 
-def read_limit(*values: bytes) -> float | None:
+def parse_limit(*values: bytes) -> float | None:
     headers = [(b"Server-Limit", value) for value in values]
     return (
         header.PlatformDialect().parse_response_head(200, headers).limit_per_s
@@ -217,8 +219,8 @@
 
 
 @pytest.mark.parametrize("value", [b"2", b"1.1", b"0.25", b" 12.5 ", b"0"])
-def test_the_request_limit_of_an_answer_is_decoded(value: bytes) -> None:
-    assert read_limit(value) == float(value)
+def test_server_limit_is_decoded(value: bytes) -> None:
+    assert parse_limit(value) == float(value)
 
 
 @pytest.mark.parametrize(
@@ -235,39 +237,43 @@
         (b"2, 3",),
     ],
 )
-def test_an_invalid_request_limit_is_counted_and_ignored(
+def test_invalid_server_limit_is_counted_and_ignored(
     values: tuple[bytes, ...], caplog: pytest.LogCaptureFixture
 ) -> None:
     headers = [(b"server-limit", value) for value in values]
     dialect = header.PlatformDialect()
     for _ in range(100):
-        answer = dialect.parse_response_head(200, headers)
-        assert answer.limit_per_s is None
-        assert answer.headers == headers
+        response = dialect.parse_response_head(200, headers)
+        assert response.limit_per_s is None
+        assert response.headers == headers
     assert dialect.invalid == {"server-limit": 100}
     assert 0 < len(caplog.records) <= 8
 
 
-def read_answer(
+def parse_response_head(
     status: int, *headers: tuple[bytes, bytes]
 ) -> message.ResponseHead:
     return header.PlatformDialect().parse_response_head(status, list(headers))
 
 
-def test_a_leaving_server_is_known_by_its_answer() -> None:
+def test_server_leaving_is_decoded() -> None:
     for status in (200, 421, 500, 503):
-        assert read_answer(status, (b"Server-Leaving", b"1")).is_leaving
-    assert not read_answer(200).is_leaving
+        assert parse_response_head(status, (b"Server-Leaving", b"1")).is_leaving
+    assert not parse_response_head(200).is_leaving
 
 
 @pytest.mark.parametrize("value", [b"3", b"0.25", b"0", b" 12.5 "])
-def test_the_pause_that_a_server_asks_for_is_decoded(value: bytes) -> None:
-    assert read_answer(503, (b"Retry-After", value)).pause_s == float(value)
+def test_retry_after_is_decoded(value: bytes) -> None:
+    assert parse_response_head(503, (b"Retry-After", value)).pause_s == float(
+        value
+    )
 
 
-def test_only_a_server_that_turns_a_request_away_asks_for_a_pause() -> None:
+def test_retry_after_is_ignored_unless_status_is_503() -> None:
     for status in (200, 421, 429, 500):
-        assert read_answer(status, (b"Retry-After", b"3")).pause_s is None
+        assert (
+            parse_response_head(status, (b"Retry-After", b"3")).pause_s is None
+        )
 
 
 @pytest.mark.parametrize(
@@ -286,21 +292,21 @@
         ("server-leaving", (b"1", b"0")),
     ],
 )
-def test_an_invalid_hint_is_counted_and_ignored(
+def test_invalid_hint_is_counted_and_ignored(
     name: str, values: tuple[bytes, ...], caplog: pytest.LogCaptureFixture
 ) -> None:
     headers = [(name.title().encode(), value) for value in values]
     dialect = header.PlatformDialect()
     for _ in range(100):
-        answer = dialect.parse_response_head(503, headers)
-        assert answer.pause_s is None
-        assert not answer.is_leaving
-        assert answer.headers == headers
+        response = dialect.parse_response_head(503, headers)
+        assert response.pause_s is None
+        assert not response.is_leaving
+        assert response.headers == headers
     assert dialect.invalid == {name: 100}
     assert 0 < len(caplog.records) <= 8
 
 
-def test_an_answer_header_without_a_reader_is_logged_once(
+def test_unknown_response_header_is_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
@@ -326,106 +332,106 @@
     ).encode()
 
 
-def list_usable(book: replicas.ReplicaRegistry) -> set[str]:
+def list_usable(registry: replicas.ReplicaRegistry) -> set[str]:
     """Returns the replicas that may get new work."""
-    listed = book.list_replicas()
+    listed = registry.list_replicas()
     return {name for name, known in listed.items() if not known.leaving}
 
 
-def test_a_replica_that_has_gone_is_known_to_have_gone() -> None:
-    # kl-ramptray, scale-2, seed 193495022005: an owner that was cut off from
-    # the store went on granting a replica, and an entry that had seen it go
-    # took its address from the grant.
-    book = replicas.ReplicaRegistry(1.6)
-    book.apply_changes([store.Change("a", make_record())], 0.0)
-    book.apply_changes([store.Change("a", None)], 10.0)
-    assert book.list_replicas()["a"].leaving
-    book.expire(10.0 + replicas.GONE_RETENTION_S)
-    assert book.list_replicas() == {}
-    book.apply_changes([store.Change("a", make_record())], 80.0)
-    assert list_usable(book) == {"a"}
+def test_gone_replica_stays_listed_as_leaving() -> None:
+    # Guards against requests sent to a stopped replica: a shard owner without
+    # access to the store keeps granting it, and an entry that has forgotten the
+    # replica would take its address from the grant.
+    registry = replicas.ReplicaRegistry(1.6)
+    registry.apply_changes([store.Change("a", make_record())], 0.0)
+    registry.apply_changes([store.Change("a", None)], 10.0)
+    assert registry.list_replicas()["a"].leaving
+    registry.expire(10.0 + replicas.GONE_RETENTION_S)
+    assert registry.list_replicas() == {}
+    registry.apply_changes([store.Change("a", make_record())], 80.0)
+    assert list_usable(registry) == {"a"}
 
 
-def test_a_record_without_sense_is_told_and_passed_over() -> None:
+def test_invalid_record_is_reported_and_ignored() -> None:
     with pytest.raises(record.RecordError, match="slots"):
         record.parse_record(b'{"service": "lm", "slots": 0}')
-    book = replicas.ReplicaRegistry(1.6)
-    book.apply_changes([store.Change("i", b"nonsense")], 0.0)
-    assert book.list_replicas() == {}
-
-
-def test_a_replica_that_leaves_never_comes_back_by_an_old_read() -> None:
-    book = replicas.ReplicaRegistry(1.6)
-    book.apply_changes([store.Change("i", make_record("draining"))], 0.0)
-    book.apply_snapshot([store.Change("i", make_record())], 1.0)
-    assert book.list_replicas()["i"].leaving
-
-
-def test_a_single_record_that_goes_is_believed() -> None:
-    book = replicas.ReplicaRegistry(1.6)
-    book.apply_changes([store.Change(n, make_record()) for n in "ab"], 0.0)
-    book.apply_changes([store.Change("a", None)], 10.0)
-    assert list_usable(book) == {"b"}
-
-
-def test_records_that_lapsed_with_the_store_are_waited_for() -> None:
-    book = replicas.ReplicaRegistry(1.6)
-    book.apply_changes([store.Change(n, make_record()) for n in "abc"], 0.0)
-    book.record_store_error(9.0)
-    book.record_store_recovery(10.0)
-    book.apply_changes([store.Change(n, None) for n in "abc"], 10.1)
-    assert not book.expire(12.1)
-    assert list_usable(book) == {"a", "b", "c"}
-    book.apply_changes([store.Change("a", make_record())], 12.1)
-    assert book.expire(12.3)
-    assert list_usable(book) == {"a"}
-
-
-def test_a_record_that_goes_after_the_store_is_back_is_not_kept_long() -> None:
-    # kl-ramptray, fresh-1715: a replica left two seconds after the store was
-    # back and got a request 2.3 s later.
-    book = replicas.ReplicaRegistry(1.6)
-    book.apply_changes([store.Change("a", make_record())], 0.0)
-    book.record_store_recovery(10.0)
-    book.apply_changes([store.Change("a", None)], 12.0)
-    assert book.expire(13.7)
-    assert list_usable(book) == set()
-
-
-def test_a_record_that_went_and_came_back_in_one_answer_is_there() -> None:
-    # Records lapsed while the store was silent and were written anew at its
-    # return.  A VM that asked just then read both in one answer, took all that
-    # had gone after all that had come, and after "kept without a record"
-    # dropped three of four live backend servers of a service with "its record
-    # is still missing": for good, as nothing more was written about them.
-    book = replicas.ReplicaRegistry(1.6)
-    book.apply_changes([store.Change(n, make_record()) for n in "abc"], 0.0)
-    book.record_store_recovery(10.0)
+    registry = replicas.ReplicaRegistry(1.6)
+    registry.apply_changes([store.Change("i", b"nonsense")], 0.0)
+    assert registry.list_replicas() == {}
+
+
+def test_leaving_replica_is_not_restored_by_stale_read() -> None:
+    registry = replicas.ReplicaRegistry(1.6)
+    registry.apply_changes([store.Change("i", make_record("draining"))], 0.0)
+    registry.apply_snapshot([store.Change("i", make_record())], 1.0)
+    assert registry.list_replicas()["i"].leaving
+
+
+def test_single_removal_takes_effect_at_once() -> None:
+    registry = replicas.ReplicaRegistry(1.6)
+    registry.apply_changes([store.Change(n, make_record()) for n in "ab"], 0.0)
+    registry.apply_changes([store.Change("a", None)], 10.0)
+    assert list_usable(registry) == {"b"}
+
+
+def test_records_expired_during_outage_are_awaited() -> None:
+    registry = replicas.ReplicaRegistry(1.6)
+    registry.apply_changes([store.Change(n, make_record()) for n in "abc"], 0.0)
+    registry.record_store_error(9.0)
+    registry.record_store_recovery(10.0)
+    registry.apply_changes([store.Change(n, None) for n in "abc"], 10.1)
+    assert not registry.expire(12.1)
+    assert list_usable(registry) == {"a", "b", "c"}
+    registry.apply_changes([store.Change("a", make_record())], 12.1)
+    assert registry.expire(12.3)
+    assert list_usable(registry) == {"a"}
+
+
+def test_removal_after_recovery_is_not_delayed_long() -> None:
+    # Guards against requests sent to a replica that stops shortly after the
+    # store's recovery: one that stopped two seconds after it still got a
+    # request 2.3 s later.
+    registry = replicas.ReplicaRegistry(1.6)
+    registry.apply_changes([store.Change("a", make_record())], 0.0)
+    registry.record_store_recovery(10.0)
+    registry.apply_changes([store.Change("a", None)], 12.0)
+    assert registry.expire(13.7)
+    assert list_usable(registry) == set()
+
+
+def test_removal_and_rewrite_in_one_batch_keeps_replica() -> None:
+    # Records expire during an outage of the store and are written again at its
+    # recovery, so that one response may hold both.  Applying the removals last
+    # permanently dropped three of four live backend servers of a service, as
+    # no further records were written for them.
+    registry = replicas.ReplicaRegistry(1.6)
+    registry.apply_changes([store.Change(n, make_record()) for n in "abc"], 0.0)
+    registry.record_store_recovery(10.0)
     went = [store.Change(n, None) for n in "abc"]
     came = [store.Change(n, make_record()) for n in "ab"]
-    book.apply_changes([*went, *came], 10.1)
-    book.expire(20.0)
-    assert list_usable(book) == {"a", "b"}
+    registry.apply_changes([*went, *came], 10.1)
+    registry.expire(20.0)
+    assert list_usable(registry) == {"a", "b"}
 
 
-def test_a_record_that_came_and_went_in_one_answer_has_gone() -> None:
-    book = replicas.ReplicaRegistry(1.6)
+def test_write_and_removal_in_one_batch_removes_replica() -> None:
+    registry = replicas.ReplicaRegistry(1.6)
     came = [store.Change("a", make_record()), store.Change("b", make_record())]
-    book.apply_changes([*came, store.Change("a", None)], 0.0)
-    assert list_usable(book) == {"b"}
+    registry.apply_changes([*came, store.Change("a", None)], 0.0)
+    assert list_usable(registry) == {"b"}
 
 
-def test_records_that_go_together_are_kept_for_a_moment() -> None:
-    book = replicas.ReplicaRegistry(1.6)
-    book.apply_changes([store.Change(n, make_record()) for n in "ab"], 0.0)
-    book.apply_changes([store.Change(n, None) for n in "ab"], 10.0)
-    assert not book.expire(11.5)
-    assert book.expire(11.7)
-    assert list_usable(book) == set()
+def test_simultaneous_removals_are_delayed() -> None:
+    registry = replicas.ReplicaRegistry(1.6)
+    registry.apply_changes([store.Change(n, make_record()) for n in "ab"], 0.0)
+    registry.apply_changes([store.Change(n, None) for n in "ab"], 10.0)
+    assert not registry.expire(11.5)
+    assert registry.expire(11.7)
+    assert list_usable(registry) == set()
 
 
-class _ReturningStore(store.Store):
-    """A store that fails once and then answers each read."""
+class _RecoveringStore(store.Store):
+    """Store whose second read of changes fails; all others succeed."""
 
     def __init__(self) -> None:
         super().__init__("127.0.0.1:9")
@@ -451,8 +457,8 @@
         return store.Changes([], offset)
 
 
-class _LateStore(store.Store):
-    """A store whose last bytes come as the call is given up."""
+class _LateBytesStore(store.Store):
+    """Store whose last bytes arrive while the call is being cancelled."""
 
     async def _call(
         self,
@@ -464,37 +470,37 @@
             await anyio.sleep_forever()
         finally:
             on_bytes()
-        raise AssertionError("never ends by itself")
+        raise AssertionError("the call returned without being cancelled")
 
 
-def test_bytes_that_come_as_a_call_is_given_up_end_no_program() -> None:
-    # Bytes move the end of a call, so that a large answer on a slow link is not
-    # given up.  Where they came in the moment of the end, the call neither had
-    # an answer nor was it told to have taken too long, and the program ended
-    # with "cannot access local variable 'status'" (bin/bench soak, seeds 103
-    # and 105 with 4 VMs).
-    late = _LateStore("127.0.0.1:9")
+def test_bytes_during_cancellation_raise_timeout_error() -> None:
+    # Received bytes extend a call's deadline, so that a large response on a
+    # slow link is not cancelled.  Bytes that arrived just at the deadline left
+    # the call without a response and without a timeout error, and the process
+    # ended with an UnboundLocalError.
+    client = _LateBytesStore("127.0.0.1:9")
     with pytest.raises(store.StoreTimeoutError):
-        anyio.run(late.read_changes, "topic", 0, 0.0, 0.05)
+        anyio.run(client.read_changes, "topic", 0, 0.0, 0.05)
 
 
-def test_the_return_of_the_store_is_noticed_without_a_record() -> None:
-    # kl-ramptray, trouble-1, seed 742343616300: the return was noticed with
-    # the first record that went three seconds later, which was then taken for
-    # one that had gone during the outage.
-    reader = _ReturningStore()
+def test_store_recovery_is_noticed_without_record() -> None:
+    # The recovery used to be noticed only with the next change of a record,
+    # three seconds later, and a replica that stopped then was treated as one
+    # whose record had expired during the outage.
+    reader = _RecoveringStore()
 
     async def run() -> None:
-        followed = topic.TopicReader(
+        topic_reader = topic.TopicReader(
             reader,
             follower.REPLICA_TOPIC,
-            lambda changes, whole: None,
+            lambda changes, is_snapshot: None,
             lambda: None,
         )
-        # Only VMs that watch read; the others are told of the return.
-        followed.set_watching(True)
+        # Only watching VMs read the store; the others learn of its
+        # recovery from peers.
+        topic_reader.set_watching(True)
         with anyio.move_on_after(1.0):
-            await followed.run()
+            await topic_reader.run()
 
     anyio.run(run)
     wait_s = log_reader.WATCH_WAIT_S
--- a/test/test_names.py
+++ b/test/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in the folder that translates them."""
+"""Checks that names of the platform appear only in its adapter."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_a_name_stands_only_in_the_adapter(name: str) -> None:
+def test_name_appears_only_in_adapter(name: str) -> None:
     found = [
         str(path.relative_to(ROOT))
         for path in SOURCES
@@ -62,7 +62,7 @@
     assert found == []
 
 
-def test_the_adapter_is_small() -> None:
+def test_adapter_is_small() -> None:
     adapter = ROOT / "ramptray" / "platform"
     own = sum(len(p.read_text().splitlines()) for p in adapter.glob("*.py"))
     rest = sum(len(p.read_text().splitlines()) for p in SOURCES)
--- a/test/test_older_store.py
+++ b/test/test_older_store.py
@@ -1,9 +1,9 @@
-"""A store that comes back from a copy some seconds old.
+"""Tests a store that is restored from a copy a few seconds old.
 
-What was written since is gone, and its offsets are given out again.  VMs went
-on reading from the offset they had reached, and passed over, without a word,
-what now stood below it; those that were told by others held what they were told
-for old.
+The records written since the copy are lost, and their offsets are assigned
+again.  Guards against VMs that continue reading from their previous offset and
+silently miss the new records below it, and against VMs that reject updates
+from peers as stale.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 VMS = 4
 IN_FORCE_S = 2.0
-"""Time from a change until it is in force on every calm VM, in seconds."""
+"""Time limit for a change to be in force on every idle VM, in seconds."""
 
 
 def make_config(version: int, first: int = 1) -> dict[str, object]:
-    """Returns a configuration with a route for each version so far."""
+    """Returns a configuration with one route per version up to this one."""
     config = node.make_config(version)
     config["routes"].extend(
         {**config["routes"][0], "name": f"v{n}", "pathPrefix": f"/v{n}/"}
@@ -42,17 +42,17 @@
     with node.run_platform(vms=VMS, replicas=2) as platform:
         platform.set_config(make_config(2))
         wait_until(lambda: is_in_force(platform, 2))
-        # Two replicas, and so a third record after theirs in each topic.
+        # Third record of the configuration topic; the replica topic has two.
         platform.set_config(make_config(3))
         wait_until(lambda: is_in_force(platform, 3))
         yield platform
 
 
-def test_a_change_at_an_offset_given_out_again_is_in_force_in_time(
+def test_change_at_reused_offset_is_in_force_in_time(
     started: node.Platform,
 ) -> None:
     started.lose_records(1)
-    # Version 4 stands where version 3 stood, and other records behind it.
+    # Version 4 takes the offset of version 3; other records follow it.
     started.set_config(make_config(4))
     written = time.monotonic()
     started._put(node.CONFIG_TOPIC, "other", b"{}")
@@ -61,11 +61,13 @@
     assert time.monotonic() - written < IN_FORCE_S
 
 
-def test_nobody_goes_back_with_the_store(started: node.Platform) -> None:
+def test_vms_keep_newer_configuration_after_restore(
+    started: node.Platform,
+) -> None:
     started.lose_records(2)
     time.sleep(0.5)
     for name in started.replicas:
-        # They write again what was lost, as the operator does.
+        # Replicas and operators write lost records again.
         started.write_record(name)
     ends_at = time.monotonic() + IN_FORCE_S
     while time.monotonic() < ends_at:
@@ -75,7 +77,7 @@
     wait_until(lambda: is_in_force(started, 4), IN_FORCE_S)
 
 
-def test_two_losses_in_a_row_are_lived_through(started: node.Platform) -> None:
+def test_repeated_restores_are_survived(started: node.Platform) -> None:
     for version in (4, 5):
         started.lose_records(1)
         started.set_config(make_config(version))
@@ -90,7 +92,7 @@
         )
 
 
-def test_replicas_whose_records_are_lost_are_kept_until_they_are_back(
+def test_replicas_with_lost_records_are_kept_until_rewritten(
     started: node.Platform,
 ) -> None:
     started.lose_records(2)
--- a/test/test_replicas.py
+++ b/test/test_replicas.py
@@ -1,9 +1,8 @@
-"""Replicas that start again under their names, and records that name none.
+"""Tests replicas that restart under the same name, and invalid records.
 
-A replica that starts again holds and knows nothing of before.  Its record tells
-when it started; whatever was learned of the run before must not be believed of
-the new one.  Records may also come from somebody else, and then name no replica
-that may be used.
+A restarted replica has lost its state.  Its record holds its start time, and
+what was learned about the previous run must not be applied to the new one.
+Other programs may write records too, and an invalid one must not be used.
 """
 
 from __future__ import annotations
@@ -24,9 +23,9 @@
 
 SHARD = message.ShardKey(config.DOMAIN, node.SERVICE)
 FIRST, SECOND = 1_700_000_000_000, 1_700_000_009_000
-"""Starts of two runs, in Unix milliseconds."""
+"""Start times of two runs, in Unix milliseconds."""
 
-GOOD = {
+VALID_FIELDS = {
     "service": node.SERVICE,
     "address": "127.0.0.1:8080",
     "zone": "waw-a",
@@ -38,94 +37,98 @@
 
 
 def make_record(**changes: Any) -> bytes:
-    return json.dumps({**GOOD, **changes}).encode()
+    return json.dumps({**VALID_FIELDS, **changes}).encode()
 
 
-def make_book(*records: tuple[str, bytes]) -> replicas.ReplicaRegistry:
-    book = replicas.ReplicaRegistry(1.6)
-    tell(book, *records)
-    return book
+def make_registry(*records: tuple[str, bytes]) -> replicas.ReplicaRegistry:
+    registry = replicas.ReplicaRegistry(1.6)
+    apply_records(registry, *records)
+    return registry
 
 
-def tell(
-    book: replicas.ReplicaRegistry,
+def apply_records(
+    registry: replicas.ReplicaRegistry,
     *records: tuple[str, bytes],
     now: float = 0.0,
 ) -> None:
-    """Lets a book read records one after the other."""
+    """Applies records to a registry one after the other."""
     for name, value in records:
-        book.apply_changes([store.Change(name, value)], now)
+        registry.apply_changes([store.Change(name, value)], now)
 
 
-def list_candidates(book: replicas.ReplicaRegistry) -> set[str]:
-    """Returns what an owner would grant, by the whole path from the store."""
+def list_candidates(registry: replicas.ReplicaRegistry) -> set[str]:
+    """Returns the backend servers that a shard owner would grant."""
     declared = config.parse_config(json.dumps(node.make_config(1)))
-    bundle = follower.add_replicas(declared, book.list_replicas())
+    bundle = follower.add_replicas(declared, registry.list_replicas())
     return {info.name for info in rules.list_backend_infos(bundle, SHARD)}
 
 
-# A replica that starts again.
+# Restarted replicas.
 
 
-def test_a_replica_that_left_is_used_when_it_has_started_again() -> None:
-    book = make_book(
+def test_restarted_replica_is_used_after_leaving() -> None:
+    registry = make_registry(
         ("i", make_record(state="draining")),
         ("i", make_record(born=SECOND)),
     )
-    assert list_candidates(book) == {"i"}
+    assert list_candidates(registry) == {"i"}
 
 
-def test_a_replica_whose_record_went_is_used_when_it_is_back() -> None:
-    book = make_book(("i", make_record(state="draining")))
-    book.apply_changes([store.Change("i", None)], 1.0)
-    assert list_candidates(book) == set()
-    tell(book, ("i", make_record(born=SECOND)), now=2.0)
-    assert list_candidates(book) == {"i"}
+def test_restarted_replica_is_used_after_removal() -> None:
+    registry = make_registry(("i", make_record(state="draining")))
+    registry.apply_changes([store.Change("i", None)], 1.0)
+    assert list_candidates(registry) == set()
+    apply_records(registry, ("i", make_record(born=SECOND)), now=2.0)
+    assert list_candidates(registry) == {"i"}
 
 
-def test_the_run_that_left_stays_away_after_an_old_read() -> None:
-    book = make_book(
+def test_leaving_run_stays_unused_after_stale_read() -> None:
+    registry = make_registry(
         ("i", make_record()),
         ("i", make_record(state="draining")),
         ("i", make_record()),
     )
-    assert list_candidates(book) == set()
+    assert list_candidates(registry) == set()
 
 
-def test_an_old_read_of_the_run_before_changes_nothing() -> None:
-    book = make_book(("i", make_record(born=SECOND, slots=4)))
-    before = book.list_replicas()
-    book.apply_snapshot([store.Change("i", make_record(state="draining"))], 1.0)
-    assert book.list_replicas() == before
+def test_stale_read_of_previous_run_is_ignored() -> None:
+    registry = make_registry(("i", make_record(born=SECOND, slots=4)))
+    before = registry.list_replicas()
+    registry.apply_snapshot(
+        [store.Change("i", make_record(state="draining"))], 1.0
+    )
+    assert registry.list_replicas() == before
 
 
-def test_a_peer_that_knows_the_run_before_only_changes_nothing() -> None:
-    book = make_book(("i", make_record(born=SECOND)))
-    before = book.list_replicas()
-    hear(book, make_record(state="draining"))
-    assert book.list_replicas() == before
+def test_peer_snapshot_of_previous_run_is_ignored() -> None:
+    registry = make_registry(("i", make_record(born=SECOND)))
+    before = registry.list_replicas()
+    apply_peer_snapshot(registry, make_record(state="draining"))
+    assert registry.list_replicas() == before
 
 
-def test_a_peer_s_word_on_a_new_run_ends_the_leaving_of_the_old_one() -> None:
-    book = make_book(("i", make_record(state="draining")))
-    hear(book, make_record(born=SECOND))
-    assert list_candidates(book) == {"i"}
+def test_peer_snapshot_of_new_run_replaces_leaving_run() -> None:
+    registry = make_registry(("i", make_record(state="draining")))
+    apply_peer_snapshot(registry, make_record(born=SECOND))
+    assert list_candidates(registry) == {"i"}
 
 
-def hear(book: replicas.ReplicaRegistry, value: bytes) -> None:
-    """Lets a book take all that a peer holds: one record."""
+def apply_peer_snapshot(
+    registry: replicas.ReplicaRegistry, value: bytes
+) -> None:
+    """Applies the snapshot of a peer that holds one record."""
     peer = mirror.Mirror()
     peer.apply(store.Changes([store.Change("i", value)], 1), True)
     told = mirror.Mirror().unpack(peer.make_update("topic", -1))
-    book.apply_snapshot(told.records, 1.0)
+    registry.apply_snapshot(told.records, 1.0)
 
 
-# What an owner has learned of the run before.
+# State of a shard owner from the previous run.
 
 
-def make_owner(book: replicas.ReplicaRegistry) -> shard.ShardOwner:
+def make_owner(registry: replicas.ReplicaRegistry) -> shard.ShardOwner:
     declared = config.parse_config(json.dumps(node.make_config(1)))
-    bundle = follower.add_replicas(declared, book.list_replicas())
+    bundle = follower.add_replicas(declared, registry.list_replicas())
     return shard.ShardOwner(
         SHARD,
         "owner:1",
@@ -137,9 +140,11 @@
     )
 
 
-def configure(owner: shard.ShardOwner, book: replicas.ReplicaRegistry) -> None:
+def configure(
+    owner: shard.ShardOwner, registry: replicas.ReplicaRegistry
+) -> None:
     declared = config.parse_config(json.dumps(node.make_config(1)))
-    bundle = follower.add_replicas(declared, book.list_replicas())
+    bundle = follower.add_replicas(declared, registry.list_replicas())
     owner.configure(
         rules.make_rules(bundle, SHARD), rules.list_backend_infos(bundle, SHARD)
     )
@@ -152,24 +157,24 @@
 
 
 def run_request(owner: shard.ShardOwner, name: str, now: float) -> None:
-    """Lets a request run to its end, slowly."""
+    """Runs a slow request to completion."""
     owner.receive("e", message.Enqueue(make_request(name)), now)
     owner.receive("e", message.FirstToken(name, 2.0, 2000, 0), now + 2.0)
     owner.receive("e", message.Ended(name, 10, 1.0, True), now + 3.0)
 
 
-def test_an_owner_forgets_what_it_learned_of_the_run_before() -> None:
-    # The new run has the record of the old one but for its start: address,
-    # places and service are the same.
-    book = make_book(("i", make_record()))
-    owner = make_owner(book)
+def test_owner_resets_state_of_previous_run() -> None:
+    # Only the start time tells the runs apart: address, slots and service are
+    # the same.
+    registry = make_registry(("i", make_record()))
+    owner = make_owner(registry)
     run_request(owner, "q1", 0.0)
     owner.receive("e", message.Enqueue(make_request("q2")), 3.0)
     known = owner.fleet.backends["i"]
     assert known.speed.is_learned and known.placed
     known.availability.record_unreachable(3.0)
-    tell(book, ("i", make_record(born=SECOND, seq=0)), now=4.0)
-    configure(owner, book)
+    apply_records(registry, ("i", make_record(born=SECOND, seq=0)), now=4.0)
+    configure(owner, registry)
     known = owner.fleet.backends["i"]
     assert not known.speed.is_learned
     assert not known.placed
@@ -177,12 +182,12 @@
     assert known.is_open(4.0)
 
 
-def test_the_end_of_a_request_of_the_run_before_changes_nothing() -> None:
-    book = make_book(("i", make_record()))
-    owner = make_owner(book)
+def test_request_end_of_previous_run_is_ignored() -> None:
+    registry = make_registry(("i", make_record()))
+    owner = make_owner(registry)
     owner.receive("e", message.Enqueue(make_request("q1")), 0.0)
-    tell(book, ("i", make_record(born=SECOND, seq=0)), now=1.0)
-    configure(owner, book)
+    apply_records(registry, ("i", make_record(born=SECOND, seq=0)), now=1.0)
+    configure(owner, registry)
     owner.receive("e", message.Enqueue(make_request("q2")), 1.0)
     for _ in range(3):
         ended = message.Ended("q1", 0, 0.0, False, broken=True)
@@ -192,11 +197,11 @@
     assert known.availability.breaks == 0
 
 
-# Records that name no replica to use.
+# Invalid records.
 
 
-class _Weird:
-    """A value that stands in a record's field in place of a sound one."""
+class _InvalidField:
+    """Invalid value of a record's field."""
 
     def __init__(self, field: str, value: Any) -> None:
         self.field = field
@@ -206,36 +211,36 @@
         return f"{self.field}={self.value!r}"
 
 
-WEIRD = [
-    _Weird("state", "melting"),
-    _Weird("state", None),
-    _Weird("slots", "4"),
-    _Weird("slots", 0),
-    _Weird("slots", -3),
-    _Weird("slots", 2.5),
-    _Weird("slots", 10**30),
-    _Weird("slots", True),
-    _Weird("slots", float("nan")),
-    _Weird("address", ":"),
-    _Weird("address", ":80"),
-    _Weird("address", "127.0.0.1"),
-    _Weird("address", "127.0.0.1:"),
-    _Weird("address", "127.0.0.1:0"),
-    _Weird("address", "127.0.0.1:99999"),
-    _Weird("address", "127.0.0.1:80/x"),
-    _Weird("address", "a b:80"),
-    _Weird("address", 80),
-    _Weird("service", "nobody"),
-    _Weird("service", 7),
-    _Weird("zone", 1),
-    _Weird("born", "1700000000000"),
-    _Weird("born", 1.5),
-    _Weird("born", -1),
-    _Weird("born", True),
-    _Weird("born", None),
+INVALID_FIELDS = [
+    _InvalidField("state", "melting"),
+    _InvalidField("state", None),
+    _InvalidField("slots", "4"),
+    _InvalidField("slots", 0),
+    _InvalidField("slots", -3),
+    _InvalidField("slots", 2.5),
+    _InvalidField("slots", 10**30),
+    _InvalidField("slots", True),
+    _InvalidField("slots", float("nan")),
+    _InvalidField("address", ":"),
+    _InvalidField("address", ":80"),
+    _InvalidField("address", "127.0.0.1"),
+    _InvalidField("address", "127.0.0.1:"),
+    _InvalidField("address", "127.0.0.1:0"),
+    _InvalidField("address", "127.0.0.1:99999"),
+    _InvalidField("address", "127.0.0.1:80/x"),
+    _InvalidField("address", "a b:80"),
+    _InvalidField("address", 80),
+    _InvalidField("service", "nobody"),
+    _InvalidField("service", 7),
+    _InvalidField("zone", 1),
+    _InvalidField("born", "1700000000000"),
+    _InvalidField("born", 1.5),
+    _InvalidField("born", -1),
+    _InvalidField("born", True),
+    _InvalidField("born", None),
 ]
 
-UNREADABLE = [
+UNDECODABLE = [
     b"\xff\xfe\x00",
     b"{",
     b"[]",
@@ -249,89 +254,97 @@
 ]
 
 
-def make_weird(weird: _Weird) -> bytes:
-    return make_record(**{weird.field: weird.value})
+def make_invalid_record(invalid: _InvalidField) -> bytes:
+    return make_record(**{invalid.field: invalid.value})
 
 
-@pytest.mark.parametrize("field", sorted(set(GOOD) - {"born", "seq"}))
-def test_a_record_without_a_field_names_no_replica(field: str) -> None:
-    value = {name: told for name, told in GOOD.items() if name != field}
-    book = make_book(("i", make_record()), ("j", make_record()))
-    tell(book, ("i", json.dumps(value).encode()))
-    assert list_candidates(book) == {"j"}
+@pytest.mark.parametrize("field", sorted(set(VALID_FIELDS) - {"born", "seq"}))
+def test_record_with_missing_field_is_not_used(field: str) -> None:
+    value = {name: told for name, told in VALID_FIELDS.items() if name != field}
+    registry = make_registry(("i", make_record()), ("j", make_record()))
+    apply_records(registry, ("i", json.dumps(value).encode()))
+    assert list_candidates(registry) == {"j"}
 
 
-@pytest.mark.parametrize("weird", WEIRD, ids=repr)
-def test_a_record_with_a_weird_field_names_no_replica(weird: _Weird) -> None:
-    book = make_book(("i", make_weird(weird)), ("j", make_record()))
-    assert list_candidates(book) == {"j"}
+@pytest.mark.parametrize("invalid", INVALID_FIELDS, ids=repr)
+def test_record_with_invalid_field_is_not_used(invalid: _InvalidField) -> None:
+    registry = make_registry(
+        ("i", make_invalid_record(invalid)), ("j", make_record())
+    )
+    assert list_candidates(registry) == {"j"}
 
 
-@pytest.mark.parametrize("weird", WEIRD, ids=repr)
-def test_a_weird_record_over_a_good_one_ends_its_use(weird: _Weird) -> None:
-    book = make_book(("i", make_record()), ("j", make_record()))
-    tell(book, ("i", make_weird(weird)), now=1.0)
-    assert list_candidates(book) == {"j"}
-    tell(book, ("i", make_record(seq=9)), now=1.1)
-    assert list_candidates(book) == {"i", "j"}
+@pytest.mark.parametrize("invalid", INVALID_FIELDS, ids=repr)
+def test_invalid_record_after_valid_one_ends_use(
+    invalid: _InvalidField,
+) -> None:
+    registry = make_registry(("i", make_record()), ("j", make_record()))
+    apply_records(registry, ("i", make_invalid_record(invalid)), now=1.0)
+    assert list_candidates(registry) == {"j"}
+    apply_records(registry, ("i", make_record(seq=9)), now=1.1)
+    assert list_candidates(registry) == {"i", "j"}
 
 
-@pytest.mark.parametrize("value", UNREADABLE, ids=lambda v: repr(v[:12]))
-def test_unreadable_bytes_over_a_good_record_end_its_use(value: bytes) -> None:
-    book = make_book(("i", make_record()))
-    book.apply_changes(
+@pytest.mark.parametrize("value", UNDECODABLE, ids=lambda v: repr(v[:12]))
+def test_undecodable_record_after_valid_one_ends_use(value: bytes) -> None:
+    registry = make_registry(("i", make_record()))
+    registry.apply_changes(
         [store.Change("i", value), store.Change("j", make_record())], 1.0
     )
-    assert list_candidates(book) == {"j"}
-    tell(book, ("i", make_record(seq=9)), now=1.1)
-    assert list_candidates(book) == {"i", "j"}
+    assert list_candidates(registry) == {"j"}
+    apply_records(registry, ("i", make_record(seq=9)), now=1.1)
+    assert list_candidates(registry) == {"i", "j"}
 
 
-def test_a_record_of_a_zone_that_is_not_known_names_no_replica() -> None:
-    book = replicas.ReplicaRegistry(1.6, frozenset({"waw-a"}))
-    tell(book, ("i", make_record(zone="mars")), ("j", make_record()))
-    assert list_candidates(book) == {"j"}
+def test_record_of_unknown_zone_is_not_used() -> None:
+    registry = replicas.ReplicaRegistry(1.6, frozenset({"waw-a"}))
+    apply_records(
+        registry, ("i", make_record(zone="mars")), ("j", make_record())
+    )
+    assert list_candidates(registry) == {"j"}
 
 
-def test_an_older_record_of_the_store_changes_nothing() -> None:
-    # The clock of the replica was set back between its two runs.
-    book = replicas.ReplicaRegistry(1.6)
+def test_record_at_earlier_position_is_ignored() -> None:
+    # The replica's clock was set back between its two runs.
+    registry = replicas.ReplicaRegistry(1.6)
     first = store.Change("i", make_record(born=SECOND, state="draining"), 7)
-    book.apply_changes([first], 0.0)
-    book.apply_changes([store.Change("i", make_record(born=FIRST), 9)], 1.0)
-    assert list_candidates(book) == {"i"}
-    book.apply_snapshot([first], 2.0, end=8)
-    assert list_candidates(book) == {"i"}
-    book.apply_snapshot([], 3.0, end=8)
-    book.expire(99.0)
-    assert list_candidates(book) == {"i"}
+    registry.apply_changes([first], 0.0)
+    registry.apply_changes([store.Change("i", make_record(born=FIRST), 9)], 1.0)
+    assert list_candidates(registry) == {"i"}
+    registry.apply_snapshot([first], 2.0, end=8)
+    assert list_candidates(registry) == {"i"}
+    registry.apply_snapshot([], 3.0, end=8)
+    registry.expire(99.0)
+    assert list_candidates(registry) == {"i"}
 
 
 @pytest.mark.parametrize("record", [b"", b"\x05ab", b"\x02\xff\xfe{}"])
-def test_a_key_that_cannot_be_read_hides_no_other(record: bytes) -> None:
+def test_undecodable_key_does_not_hide_other_records(record: bytes) -> None:
     body = page.PAGE_HEADER.pack(2, 0)
     for each in (record, b"\x01j" + make_record()):
         body += page.RECORD_LENGTH.pack(len(each)) + each
-    book = make_book(("ab", make_record()))
+    registry = make_registry(("ab", make_record()))
     changes = page.decode_records(body, 0)
-    book.apply_changes(changes.records, 1.0)
+    registry.apply_changes(changes.records, 1.0)
     assert changes.end == 2
-    assert list_candidates(book) == {"ab", "j"}
+    assert list_candidates(registry) == {"ab", "j"}
 
 
-def test_a_record_without_a_start_is_taken() -> None:
-    value = {name: told for name, told in GOOD.items() if name != "born"}
-    book = make_book(("i", json.dumps(value).encode()))
-    assert list_candidates(book) == {"i"}
+def test_record_without_start_time_is_used() -> None:
+    value = {
+        name: told for name, told in VALID_FIELDS.items() if name != "born"
+    }
+    registry = make_registry(("i", json.dumps(value).encode()))
+    assert list_candidates(registry) == {"i"}
 
 
-def test_a_record_that_cannot_be_used_is_told_once(
+def test_invalid_record_is_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    book = make_book(("i", make_record()))
+    registry = make_registry(("i", make_record()))
     with caplog.at_level(logging.INFO):
         for _ in range(5):
-            tell(book, ("i", b"nonsense"))
+            apply_records(registry, ("i", b"nonsense"))
     told = [r for r in caplog.records if getattr(r, "backend", "") == "i"]
     assert len(told) == 1
 
@@ -351,26 +364,28 @@
     ),
     max_leaves=8,
 )
-ODD_RECORDS = st.one_of(
+MALFORMED_RECORDS = st.one_of(
     st.binary(max_size=60),
     st.dictionaries(
-        st.sampled_from(sorted(GOOD)), VALUES, max_size=len(GOOD)
-    ).map(lambda fields: json.dumps({**GOOD, **fields}).encode()),
-    st.dictionaries(st.sampled_from(sorted(GOOD)), VALUES).map(
+        st.sampled_from(sorted(VALID_FIELDS)),
+        VALUES,
+        max_size=len(VALID_FIELDS),
+    ).map(lambda fields: json.dumps({**VALID_FIELDS, **fields}).encode()),
+    st.dictionaries(st.sampled_from(sorted(VALID_FIELDS)), VALUES).map(
         lambda fields: json.dumps(fields).encode()
     ),
 )
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
-@given(st.lists(ODD_RECORDS, max_size=4), st.booleans())
-def test_odd_records_never_hide_the_sound_ones(
-    odd: list[bytes], whole: bool
+@given(st.lists(MALFORMED_RECORDS, max_size=4), st.booleans())
+def test_malformed_records_never_hide_valid_ones(
+    malformed: list[bytes], is_snapshot: bool
 ) -> None:
-    """From bytes as the store sends them to the list of candidates."""
-    book = make_book(("good", make_record()))
+    """Covers the path from the store's bytes to the list of candidates."""
+    registry = make_registry(("good", make_record()))
     records = [
-        *((f"odd-{number}", value) for number, value in enumerate(odd)),
+        *((f"odd-{number}", value) for number, value in enumerate(malformed)),
         ("other", make_record()),
     ]
     body = page.PAGE_HEADER.pack(len(records), 0)
@@ -378,15 +393,15 @@
         record = bytes([len(name)]) + name.encode() + value
         body += page.RECORD_LENGTH.pack(len(record)) + record
     changes = page.decode_records(body, 0).records
-    if whole:
+    if is_snapshot:
         changes = [*changes, store.Change("good", make_record())]
-        book.apply_snapshot(changes, 1.0)
+        registry.apply_snapshot(changes, 1.0)
     else:
-        book.apply_changes(changes, 1.0)
-    candidates = list_candidates(book)
+        registry.apply_changes(changes, 1.0)
+    candidates = list_candidates(registry)
     assert {"good", "other"} <= candidates
     for name in candidates - {"good", "other"}:
-        replica = book.list_replicas()[name]
+        replica = registry.list_replicas()[name]
         assert replica.slots >= 1 and replica.service == node.SERVICE
         host, _, port = replica.address.rpartition(":")
         assert host and 0 < int(port) < 65536
--- a/test/test_restarted_replica.py
+++ b/test/test_restarted_replica.py
@@ -1,4 +1,4 @@
-"""Replicas that start again under their names, over the whole path."""
+"""End-to-end tests of replicas that restart under the same name."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 from test.test_node import ask, wait_until
 
 FIRST, SECOND = 1_700_000_000_000, 1_700_000_009_000
-"""Starts of two runs, in Unix milliseconds."""
+"""Start times of two runs, in Unix milliseconds."""
 
-SOON_S = 0.8
-"""Time in which such a request must end, in seconds: less than the one second
-after which a replica is taken to hang."""
+MAX_DURATION_S = 0.8
+"""Time limit for a request to the previous run to end, in seconds.
+
+It is less than the one second after which a replica is considered hung."""
 
 
 def is_up(started: node.Platform) -> bool:
@@ -24,13 +25,13 @@
 
 
 def is_used(started: node.Platform, name: str) -> bool:
-    """Returns whether work that fills the others reaches a replica."""
+    """Returns whether a replica is used under a load that fills the others."""
     with futures.ThreadPoolExecutor(2 * node.SLOTS) as pool:
         list(pool.map(lambda _: ask(started, "/safe/"), range(4 * node.SLOTS)))
     return bool(started.read_ledger(name)["runs"])
 
 
-def test_a_replica_that_starts_again_while_it_leaves_is_used() -> None:
+def test_replica_restarted_while_leaving_is_used() -> None:
     with node.run_platform(replicas=0) as started:
         for name in ("i-0", "i-1"):
             started.start_replica(name, work_s=0.05)
@@ -48,21 +49,22 @@
     ("path", "method", "statuses"),
     [("/safe/", "GET", {200}), ("/once/", "POST", {502, 504})],
 )
-def test_requests_at_a_run_that_has_ended_do_not_wait_for_it(
+def test_requests_at_ended_run_do_not_wait(
     path: str, method: str, statuses: set[int]
 ) -> None:
-    # The former run lost its power: its connections stay open and silent.
+    # SIGSTOP simulates a power loss of the previous run: its connections stay
+    # open and silent.
     with node.run_platform(replicas=0) as started:
         started.start_replica("i-0", work_s=0.3)
         started.write_record("i-0", born=FIRST)
         wait_until(lambda: is_up(started))
         started.move_replica("i-0", work_s=0.01)
         with futures.ThreadPoolExecutor(1) as pool:
-            asked = pool.submit(ask, started, path, method, b"x")
+            pending = pool.submit(ask, started, path, method, b"x")
             time.sleep(0.1)
             started.processes["i-0-former"].send_signal(signal.SIGSTOP)
-            began = time.monotonic()
+            started_at = time.monotonic()
             started.write_record("i-0", born=SECOND)
-            answer = asked.result()
-            assert time.monotonic() - began < SOON_S
-        assert answer.status in statuses
+            response = pending.result()
+            assert time.monotonic() - started_at < MAX_DURATION_S
+        assert response.status in statuses
