--- a/ramptray/node/main.py
+++ b/ramptray/node/main.py
@@ -288,7 +288,7 @@
             in_force.generation, steadyclock.read()
         )
 
-    def _handle_suspension(self, away_s: float) -> None:
+    def _handle_suspension(self, suspended_s: float) -> None:
         """Drops idle connections and wakes the follower.
 
         The other ends have probably closed the connections, and other state
--- a/ramptray/node/suspension.py
+++ b/ramptray/node/suspension.py
@@ -22,8 +22,8 @@
 class SuspensionDetector:
     """Compares the clock that counts suspensions with the one that does not.
 
-    Ages are measured by the former, so they are right after a suspension
-    without further work; the callback is for what must be done beyond that.
+    Ages are measured by the former, so they are correct after a suspension.
+    The callback handles everything else that a suspension affects.
 
     Args:
         on_suspended: Called after a suspension with its length in seconds.
--- a/test/test_node.py
+++ b/test/test_node.py
@@ -70,10 +70,10 @@
 
 
 def test_response_is_passed_on_unchanged(platform: node.Platform) -> None:
-    answer = ask(platform, "/safe/a?b=c", "POST", b"12345")
-    assert answer.status == 200
-    assert json.loads(answer.body) == {"path": "/safe/a?b=c", "bytes": 5}
-    assert answer.headers["x-response-signature"].endswith("./safe/a?b=c")
+    response = ask(platform, "/safe/a?b=c", "POST", b"12345")
+    assert response.status == 200
+    assert json.loads(response.body) == {"path": "/safe/a?b=c", "bytes": 5}
+    assert response.headers["x-response-signature"].endswith("./safe/a?b=c")
 
 
 def test_replica_receives_the_customer_but_not_the_key(
@@ -127,9 +127,9 @@
 def test_refused_request_was_not_executed(platform: node.Platform) -> None:
     for name in platform.replicas:
         platform.set_faults(name, refuse=True)
-    answer = ask(platform, "/once/", "POST", b"x", X_Request_Id="refused-1")
-    assert answer.status == 503
-    assert float(answer.headers["retry-after"]) > 0
+    response = ask(platform, "/once/", "POST", b"x", X_Request_Id="refused-1")
+    assert response.status == 503
+    assert float(response.headers["retry-after"]) > 0
     assert "refused-1" not in platform.list_runs()
 
 
@@ -138,9 +138,9 @@
 ) -> None:
     for name in platform.replicas:
         platform.set_faults(name, fail=True)
-    answer = ask(platform, "/once/", "POST", b"x", X_Request_Id="once-1")
-    assert answer.status == 500
-    assert "x-response-signature" in answer.headers
+    response = ask(platform, "/once/", "POST", b"x", X_Request_Id="once-1")
+    assert response.status == 500
+    assert "x-response-signature" in response.headers
     assert platform.list_runs().count("once-1") == 1
 
 
@@ -159,9 +159,9 @@
     # its caller's deadline.
     platform.set_faults("i-0", work_s=8.0)
     for _ in range(4):
-        began = time.monotonic()
+        started_at = time.monotonic()
         assert ask(platform, "/safe/").status == 200
-        assert time.monotonic() - began < 2.0
+        assert time.monotonic() - started_at < 2.0
 
 
 def test_broken_stream_is_resumed_on_another_replica(
@@ -172,9 +172,9 @@
         f"id: {n}\ndata: piece {n}\n\n".encode() for n in range(1, 6)
     )
     for _ in range(4):
-        answer = ask(platform, "/stream/", "POST", b"x")
-        assert (answer.status, answer.whole) == (200, True)
-        assert answer.body == expected
+        response = ask(platform, "/stream/", "POST", b"x")
+        assert (response.status, response.whole) == (200, True)
+        assert response.body == expected
 
 
 def test_hanging_stream_is_resumed_on_another_replica(
@@ -189,11 +189,11 @@
         for name in platform.replicas:
             after = 2 if name == hanging else None
             platform.set_faults(name, hang_after=after)
-        began = time.monotonic()
-        answer = ask(platform, "/stream/", "POST", b"x")
-        assert (answer.status, answer.whole) == (200, True)
-        assert answer.body == expected
-        assert time.monotonic() - began < 2.0
+        started_at = time.monotonic()
+        response = ask(platform, "/stream/", "POST", b"x")
+        assert (response.status, response.whole) == (200, True)
+        assert response.body == expected
+        assert time.monotonic() - started_at < 2.0
 
 
 def test_stream_that_cannot_be_resumed_ends_incomplete(
@@ -201,9 +201,9 @@
 ) -> None:
     for name in platform.replicas:
         platform.set_faults(name, cut_after=2)
-    answer = ask(platform, "/stream-once/", "POST", b"x")
-    assert not answer.whole
-    assert answer.body.count(b"data:") == 2
+    response = ask(platform, "/stream-once/", "POST", b"x")
+    assert not response.whole
+    assert response.body.count(b"data:") == 2
 
 
 def test_response_to_another_request_is_skipped(
@@ -212,15 +212,15 @@
     for name in platform.replicas:
         platform.set_faults(name, surplus=True)
     for _ in range(4):
-        answer = ask(platform, "/safe/mine")
-        assert json.loads(answer.body)["path"] == "/safe/mine"
+        response = ask(platform, "/safe/mine")
+        assert json.loads(response.body)["path"] == "/safe/mine"
 
 
 def test_response_without_a_length_is_complete(platform: node.Platform) -> None:
     for name in platform.replicas:
         platform.set_faults(name, unframed=True)
-    answer = ask(platform, "/safe/free")
-    assert json.loads(answer.body)["path"] == "/safe/free"
+    response = ask(platform, "/safe/free")
+    assert json.loads(response.body)["path"] == "/safe/free"
 
 
 def test_work_is_cancelled_soon_after_the_caller_disconnects(
@@ -245,7 +245,7 @@
 
 
 def test_a_customer_over_its_limit_gets_429(platform: node.Platform) -> None:
-    answers = [
+    responses = [
         ask(
             platform,
             "/safe/",
@@ -254,8 +254,8 @@
         )
         for _ in range(4)
     ]
-    assert [a.status for a in answers] == [200, 200, 429, 429]
-    assert float(answers[-1].headers["retry-after"]) > 0
+    assert [a.status for a in responses] == [200, 200, 429, 429]
+    assert float(responses[-1].headers["retry-after"]) > 0
 
 
 def use_all_replicas(started: node.Platform, last: str) -> None:
@@ -270,10 +270,10 @@
 
     def is_used() -> bool:
         with futures.ThreadPoolExecutor(at_once) as pool:
-            asked = [
+            submitted = [
                 pool.submit(ask, started, "/safe/") for _ in range(at_once)
             ]
-            assert all(one.result().status in (200, 503) for one in asked)
+            assert all(one.result().status in (200, 503) for one in submitted)
         return bool(started.read_ledger(last)["runs"])
 
     wait_until(is_used)
@@ -325,9 +325,9 @@
         alone.start_vm("vm-0", store="127.0.0.1:9")
         ready = node.call(alone.vms["vm-0"]["ready"], "GET", "/v1/ready")
         assert ready.status == 503
-        answer = ask(alone, "/safe/")
-        assert answer.status == 503
-        assert float(answer.headers["retry-after"]) > 0
+        response = ask(alone, "/safe/")
+        assert response.status == 503
+        assert float(response.headers["retry-after"]) > 0
 
 
 def test_vm_without_the_store_is_updated_by_its_peers() -> None:
@@ -345,9 +345,9 @@
     with node.run_platform(replicas=1) as alone:
         wait_until(lambda: ask(alone, "/safe/").status == 200)
         host, port = alone.vms["vm-0"]["front"].split(":")
-        kept = http.client.HTTPConnection(host, int(port), timeout=5)
-        kept.request("GET", "/safe/", headers=make_headers())
-        kept.getresponse().read()
+        keep_alive = http.client.HTTPConnection(host, int(port), timeout=5)
+        keep_alive.request("GET", "/safe/", headers=make_headers())
+        keep_alive.getresponse().read()
         alone.set_faults("i-0", work_s=0.3)
         running = http.client.HTTPConnection(host, int(port), timeout=10)
         running.request("POST", "/stream/", b"x", make_headers())
@@ -356,14 +356,14 @@
         ready = node.call(alone.vms["vm-0"]["ready"], "GET", "/v1/ready")
         assert ready.status == 503
         assert running.getresponse().read().count(b"data:") == 5
-        answer = ask(alone, "/safe/")
-        assert answer.status == 200
-        assert answer.headers["connection"] == "close"
+        response = ask(alone, "/safe/")
+        assert response.status == 200
+        assert response.headers["connection"] == "close"
         time.sleep(2.0)
         with pytest.raises((http.client.RemoteDisconnected, ConnectionError)):
             late = make_headers(X_Request_Id="late-1")
-            kept.request("GET", "/safe/", headers=late)
-            kept.getresponse()
+            keep_alive.request("GET", "/safe/", headers=late)
+            keep_alive.getresponse()
         assert alone.processes["vm-0"].wait(8) == 0
         assert "late-1" not in alone.list_runs()
 
