--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -386,7 +386,7 @@
     given = peers.read_settings(started.folder / "operator.json")
 
     async def ask() -> dict[str, dict[str, Any]]:
-        return await status.fetch(given)
+        return await status.fetch_reports(given)
 
     reports = anyio.run(ask)
     return {
--- a/ramptray/command/blocked.py
+++ b/ramptray/command/blocked.py
@@ -47,8 +47,11 @@
     if not schedulers:
         if settings_file is None:
             raise CommandError("name --settings or --scheduler")
-        given = peers.read_settings(settings_file)
-        schedulers, tls = tuple(given.schedulers), given.tls
+        operator_settings = peers.read_settings(settings_file)
+        schedulers, tls = (
+            tuple(operator_settings.schedulers),
+            operator_settings.tls,
+        )
     blocks = anyio.run(_ask, schedulers, tls, content)
     if content and content not in {block.content for block in blocks}:
         raise CommandError(f"{content} is not blocked")
@@ -83,10 +86,10 @@
     question: object = peer_message.ListBlocks()
     if content:
         question = peer_message.LiftBlock(content)
-    async with peers.open_schedulers(schedulers, tls) as found:
-        reports = await found.find_reports()
+    async with peers.open_client(schedulers, tls) as client:
+        reports = await client.fetch_reports()
         addresses = [report["address"] for report in reports.values()]
-        answers = await found.ask_all(question, addresses)
+        answers = await client.query_all(question, addresses)
     if not answers:
         raise CommandError("no scheduler answers")
     merged: dict[str, blocklist.BlockUpdate] = {}
--- a/ramptray/command/bundle.py
+++ b/ramptray/command/bundle.py
@@ -134,8 +134,8 @@
     try:
         raw = file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        mistake = validation.Violation("", f"a readable file ({error})")
-        raise parsing.InvalidFileError(str(file), [mistake]) from error
+        violation = validation.Violation("", f"a readable file ({error})")
+        raise parsing.InvalidFileError(str(file), [violation]) from error
     try:
         return msgspec.json.decode(raw.encode(), type=signature.Envelope)
     except (msgspec.ValidationError, msgspec.DecodeError):
@@ -151,8 +151,8 @@
     match parsing.parse_bundle(envelope.text):
         case Ok(bundle):
             return bundle
-        case Err(mistakes):
-            raise parsing.InvalidFileError(str(file), mistakes)
+        case Err(violations):
+            raise parsing.InvalidFileError(str(file), violations)
 
 
 def check_follows(
@@ -166,14 +166,14 @@
     Raises:
         parsing.InvalidFileError: It does not.
     """
-    mistakes: list[validation.Violation] = []
+    violations: list[validation.Violation] = []
     if bundle.generation != base_bundle.generation + 1:
         expected = f"{base_bundle.generation + 1}, found {bundle.generation}"
-        mistakes.append(validation.Violation("generation", expected))
+        violations.append(validation.Violation("generation", expected))
     if bundle.base != base.digest:
-        mistakes.append(validation.Violation("base", f"{base.digest}"))
-    if mistakes:
-        raise parsing.InvalidFileError(str(file), mistakes)
+        violations.append(validation.Violation("base", f"{base.digest}"))
+    if violations:
+        raise parsing.InvalidFileError(str(file), violations)
 
 
 def _set_field(raw: str, field: str, value: str) -> str:
--- a/ramptray/command/certificate.py
+++ b/ramptray/command/certificate.py
@@ -15,7 +15,7 @@
 
 AUTHORITY_DAYS = 3650
 CERTIFICATE_DAYS = 365
-CLOCK_SLACK = datetime.timedelta(hours=1)
+MAX_CLOCK_SKEW = datetime.timedelta(hours=1)
 KEY_MODE = 0o600
 PATH = click.Path(path_type=pathlib.Path)
 
@@ -28,11 +28,11 @@
     key = ec.generate_private_key(ec.SECP256R1())
     name = _make_name("ramptray authority")
     certificate = (
-        _start(name, name, key, AUTHORITY_DAYS)
+        _make_builder(name, name, key, AUTHORITY_DAYS)
         .add_extension(x509.BasicConstraints(True, 0), critical=True)
         .sign(key, hashes.SHA256())
     )
-    _write_pair(folder, "authority", key, certificate)
+    _write_key_pair(folder, "authority", key, certificate)
 
 
 @click.command(name="certificate")
@@ -45,11 +45,13 @@
     key = ec.generate_private_key(ec.SECP256R1())
     names = x509.SubjectAlternativeName([x509.DNSName(server_name)])
     certificate = (
-        _start(_make_name(name), authority.subject, key, CERTIFICATE_DAYS)
+        _make_builder(
+            _make_name(name), authority.subject, key, CERTIFICATE_DAYS
+        )
         .add_extension(names, critical=False)
         .sign(authority_key, hashes.SHA256())
     )
-    _write_pair(folder, name, key, certificate)
+    _write_key_pair(folder, name, key, certificate)
 
 
 def _read_authority(
@@ -71,7 +73,7 @@
     return x509.Name([x509.NameAttribute(oid.NameOID.COMMON_NAME, name)])
 
 
-def _start(
+def _make_builder(
     subject: x509.Name,
     issuer: x509.Name,
     key: ec.EllipticCurvePrivateKey,
@@ -84,12 +86,12 @@
         .issuer_name(issuer)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - CLOCK_SLACK)
+        .not_valid_before(now - MAX_CLOCK_SKEW)
         .not_valid_after(now + datetime.timedelta(days=days))
     )
 
 
-def _write_pair(
+def _write_key_pair(
     folder: pathlib.Path,
     name: str,
     key: ec.EllipticCurvePrivateKey,
--- a/ramptray/command/explain.py
+++ b/ramptray/command/explain.py
@@ -13,16 +13,16 @@
 
 from ramptray.command.error import CommandError
 
-AROUND_S = 5.0
+LOOKBACK_S = 5.0
 """How long before a request changes of belief are shown, in seconds: a view
 that misled it is seldom older."""
 
-TIME = "%Y-%m-%d %H:%M:%S,%f"
+TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 """How log lines write the time of day, in UTC."""
 
 _PATH = click.Path(path_type=pathlib.Path)
-_FIXED = {"clock", "process", "zone", "kind", "subject"}
-_PLUMBING = {
+_EVENT_FIELDS = {"clock", "process", "zone", "kind", "subject"}
+_LOG_METADATA = {
     "time",
     "level",
     "name",
@@ -34,10 +34,10 @@
     "taskName",
 }
 
-_BELIEFS = {"membership", "bundle"}
+_STATE_KINDS = {"membership", "bundle"}
 """Kinds of events that tell of a belief, not of a request."""
 
-VERDICTS: Mapping[str, str] = {
+REASON_TEXTS: Mapping[str, str] = {
     "customer_limit": "its customer was over its limit at the owner",
     "overloaded": "no place at a backend server came free in time",
     "deadline": "the time of the route or the caller was over",
@@ -54,7 +54,7 @@
 """What each reason means, in words."""
 
 
-class Line(msgspec.Struct, frozen=True):
+class LogLine(msgspec.Struct, frozen=True):
     """One log line that may matter.
 
     Attributes:
@@ -71,14 +71,14 @@
     subject: str
     details: Mapping[str, Any]
 
-    def format(self, since_s: float) -> str:
+    def format(self, origin_s: float) -> str:
         """Returns the line as it is shown."""
         facts = " ".join(
             f"{name}={value}"
             for name, value in self.details.items()
             if value is not None
         )
-        after = f"{self.time_s - since_s:>+9.3f}"
+        after = f"{self.time_s - origin_s:>+9.3f}"
         return f"{after}  {self.process:<28}{self.kind}  {facts}".rstrip()
 
 
@@ -98,17 +98,17 @@
     then each decision on the request, and last why it ended.
     """
     lines = sorted(read_lines(list_files(logs)), key=lambda line: line.time_s)
-    own = [line for line in lines if line.subject == request_id]
-    if not own:
+    request_lines = [line for line in lines if line.subject == request_id]
+    if not request_lines:
         raise CommandError(f"{request_id}: no line of these logs names it")
-    since = own[0].time_s
+    first_s = request_lines[0].time_s
     click.echo("believed before:")
-    for line in find_beliefs(lines, own):
-        click.echo(line.format(since))
+    for line in find_state_changes(lines, request_lines):
+        click.echo(line.format(first_s))
     click.echo("decided:")
-    for line in own:
-        click.echo(line.format(since))
-    click.echo(f"ended: {judge(own)}")
+    for line in request_lines:
+        click.echo(line.format(first_s))
+    click.echo(f"ended: {describe_end(request_lines)}")
 
 
 def list_files(given: Iterable[pathlib.Path]) -> list[pathlib.Path]:
@@ -123,7 +123,7 @@
     )
 
 
-def read_lines(files: Iterable[pathlib.Path]) -> Iterator[Line]:
+def read_lines(files: Iterable[pathlib.Path]) -> Iterator[LogLine]:
     """Yields the lines of log files; what is no JSON object is passed over."""
     for file in files:
         try:
@@ -140,13 +140,15 @@
                 yield line
 
 
-def find_beliefs(lines: Iterable[Line], own: list[Line]) -> list[Line]:
+def find_state_changes(
+    lines: Iterable[LogLine], request_lines: list[LogLine]
+) -> list[LogLine]:
     """Returns the changes of belief that may have decided on a request.
 
     Those are of the processes on its way, from shortly before it to its end.
     """
-    involved = {line.process for line in own}
-    begin, end = own[0].time_s - AROUND_S, own[-1].time_s
+    involved = {line.process for line in request_lines}
+    begin, end = request_lines[0].time_s - LOOKBACK_S, request_lines[-1].time_s
     return [
         line
         for line in lines
@@ -156,10 +158,14 @@
     ]
 
 
-def judge(own: list[Line]) -> str:
+def describe_end(request_lines: list[LogLine]) -> str:
     """Returns in words why a request ended as it did."""
     last = next(
-        (line for line in reversed(own) if line.kind in ("end", "refused")),
+        (
+            line
+            for line in reversed(request_lines)
+            if line.kind in ("end", "refused")
+        ),
         None,
     )
     if last is None:
@@ -168,31 +174,35 @@
     reason = last.details.get("reason")
     if reason is None:
         return str(outcome)
-    return f"{outcome}: {VERDICTS.get(reason, reason)} ({reason})"
+    return f"{outcome}: {REASON_TEXTS.get(reason, reason)} ({reason})"
 
 
-def _make_line(fields: dict[str, Any]) -> Line | None:
+def _make_line(fields: dict[str, Any]) -> LogLine | None:
     event = fields.get("event")
     if isinstance(event, dict) and "clock" in event:
         return _make_event(event)
     try:
-        written = datetime.datetime.strptime(str(fields.get("time")), TIME)
+        written = datetime.datetime.strptime(
+            str(fields.get("time")), TIME_FORMAT
+        )
     except ValueError:
         return None
-    return Line(
+    return LogLine(
         written.replace(tzinfo=datetime.UTC).timestamp(),
         str(fields.get("process", "")),
         str(fields.get("message", "")),
         "",
-        {k: v for k, v in fields.items() if k not in _PLUMBING},
+        {k: v for k, v in fields.items() if k not in _LOG_METADATA},
     )
 
 
-def _make_event(event: dict[str, Any]) -> Line:
-    return Line(
+def _make_event(event: dict[str, Any]) -> LogLine:
+    return LogLine(
         event["clock"] / 1e6,
         str(event.get("process", "")),
         str(event.get("kind", "")),
-        "" if event.get("kind") in _BELIEFS else str(event.get("subject", "")),
-        {k: v for k, v in event.items() if k not in _FIXED},
+        ""
+        if event.get("kind") in _STATE_KINDS
+        else str(event.get("subject", "")),
+        {k: v for k, v in event.items() if k not in _EVENT_FIELDS},
     )
--- a/ramptray/command/keys.py
+++ b/ramptray/command/keys.py
@@ -20,7 +20,7 @@
 
 @group.command(name="new")
 @click.argument("file", type=click.Path(path_type=pathlib.Path))
-def make_new(file: pathlib.Path) -> None:
+def write_private_key(file: pathlib.Path) -> None:
     """Writes a new private key to FILE and prints its public key."""
     private = signature.make_private_key()
     try:
--- a/ramptray/command/losses.py
+++ b/ramptray/command/losses.py
@@ -16,11 +16,11 @@
 
 _PATH = click.Path(path_type=pathlib.Path)
 
-WORST_WINDOWS = 5
+MAX_SHOWN_WINDOWS = 5
 """Windows of time that are shown, those with the greatest loss."""
 
 
-SHOWN_REASONS = 3
+MAX_SHOWN_CAUSES = 3
 """Reasons that are shown for a window, the heaviest first."""
 
 
@@ -30,41 +30,41 @@
     IN_TIME = "in time"
     LATE_WAITING = "late, waited too long"
     LATE_BACKEND = "late, backend server slower than expected"
-    LIMIT = "refused, limit of its customer"
-    NO_PLACE = "refused, no place in time"
+    CUSTOMER_LIMIT = "refused, limit of its customer"
+    NO_SLOT = "refused, no place in time"
     NO_BACKEND = "refused, no backend server in reach"
     NOT_READY = "refused, VM not ready"
     BACKEND_FAILED = "backend server failed"
-    TIME_OVER = "ran until its deadline"
-    CALLER_GONE = "caller left first"
+    DEADLINE_EXCEEDED = "ran until its deadline"
+    CALLER_DISCONNECTED = "caller left first"
     VM_DOWN = "its VM went down"
     OTHER = "refused, for another reason"
 
 
-CAUSES: Mapping[str, Cause] = {
-    "customer_limit": Cause.LIMIT,
-    "overloaded": Cause.NO_PLACE,
+CAUSE_BY_REASON: Mapping[str, Cause] = {
+    "customer_limit": Cause.CUSTOMER_LIMIT,
+    "overloaded": Cause.NO_SLOT,
     "no_backend": Cause.NO_BACKEND,
     "not_ready": Cause.NOT_READY,
     "backend_refused": Cause.BACKEND_FAILED,
     "backend_lost": Cause.BACKEND_FAILED,
     "stream_broken": Cause.BACKEND_FAILED,
-    "caller_gone": Cause.CALLER_GONE,
+    "caller_gone": Cause.CALLER_DISCONNECTED,
 }
 """Causes by the reason that an ``end`` line tells."""
 
 
-class Loss(msgspec.Struct, frozen=True):
+class RequestOutcome(msgspec.Struct, frozen=True):
     """What became of one request.
 
     Attributes:
-        asked_s: When it was asked, on its VM's clock.
+        received_s: When it was received, on its VM's clock.
         tier: Its tier.
         cause: What became of it.
         weight: What it weighs.
     """
 
-    asked_s: float
+    received_s: float
     tier: str
     cause: Cause
     weight: float
@@ -102,14 +102,16 @@
     of all weights was served in time.
     """
     lines = explain.read_lines(explain.list_files(logs))
-    losses = judge_all(lines, parse_weights(weights))
-    if not losses:
+    outcomes = classify_requests(lines, parse_weights(weights))
+    if not outcomes:
         raise CommandError("no line of these logs tells of a request")
-    _show_causes(losses)
-    _show_windows(losses, window_s)
-    total = sum(loss.weight for loss in losses)
-    met = sum(loss.weight for loss in losses if loss.cause is Cause.IN_TIME)
-    click.echo(f"in time: {met / total:.3f} of {total:g}")
+    _show_causes(outcomes)
+    _show_windows(outcomes, window_s)
+    total = sum(outcome.weight for outcome in outcomes)
+    served = sum(
+        outcome.weight for outcome in outcomes if outcome.cause is Cause.IN_TIME
+    )
+    click.echo(f"in time: {served / total:.3f} of {total:g}")
 
 
 def parse_weights(texts: Iterable[str]) -> dict[str, float]:
@@ -130,39 +132,50 @@
     return weights
 
 
-def judge_all(
-    lines: Iterable[explain.Line], weights: Mapping[str, float]
-) -> list[Loss]:
+def classify_requests(
+    lines: Iterable[explain.LogLine], weights: Mapping[str, float]
+) -> list[RequestOutcome]:
     """Returns what became of each request that the lines tell of."""
-    by_subject: dict[str, list[explain.Line]] = collections.defaultdict(list)
+    lines_by_request: dict[str, list[explain.LogLine]] = (
+        collections.defaultdict(list)
+    )
     for line in lines:
         if line.subject:
-            by_subject[line.subject].append(line)
+            lines_by_request[line.subject].append(line)
     return [
-        Loss(asked.time_s, tier, _judge(asked, own), weights.get(tier, 1.0))
-        for own in by_subject.values()
-        if (asked := _find(own, "request")) is not None
-        for tier in [str(asked.details.get("tier", ""))]
+        RequestOutcome(
+            received.time_s,
+            tier,
+            _find_cause(received, request_lines),
+            weights.get(tier, 1.0),
+        )
+        for request_lines in lines_by_request.values()
+        if (received := _find_last(request_lines, "request")) is not None
+        for tier in [str(received.details.get("tier", ""))]
     ]
 
 
-def _judge(asked: explain.Line, own: list[explain.Line]) -> Cause:
-    end = _find(own, "end")
+def _find_cause(
+    received: explain.LogLine, request_lines: list[explain.LogLine]
+) -> Cause:
+    end = _find_last(request_lines, "end")
     if end is None:
         return Cause.VM_DOWN
     reason = end.details.get("reason")
     if reason is None:
-        return _judge_time(asked, own)
+        return _find_delay_cause(received, request_lines)
     if reason == "deadline":
-        ran = _find(own, "dispatch") is not None
-        return Cause.TIME_OVER if ran else Cause.NO_PLACE
-    return CAUSES.get(str(reason), Cause.OTHER)
+        ran = _find_last(request_lines, "dispatch") is not None
+        return Cause.DEADLINE_EXCEEDED if ran else Cause.NO_SLOT
+    return CAUSE_BY_REASON.get(str(reason), Cause.OTHER)
 
 
-def _judge_time(asked: explain.Line, own: list[explain.Line]) -> Cause:
+def _find_delay_cause(
+    received: explain.LogLine, request_lines: list[explain.LogLine]
+) -> Cause:
     """Returns whether a whole answer began in time, by what the owner knew."""
-    first = _find(own, "first_token")
-    grants = [line for line in own if line.kind == "grant"]
+    first = _find_last(request_lines, "first_token")
+    grants = [line for line in request_lines if line.kind == "grant"]
     if first is None or not grants:
         return Cause.IN_TIME
     granted = grants[-1]
@@ -172,27 +185,29 @@
     if left_s < granted.details.get("expected_s", 0.0):
         return Cause.LATE_WAITING
     # The owner's clock may differ from the VM's: only the VM's is used here.
-    dispatched = _find(own, "dispatch") or asked
+    dispatched = _find_last(request_lines, "dispatch") or received
     if first.time_s - dispatched.time_s > left_s:
         return Cause.LATE_BACKEND
     return Cause.IN_TIME
 
 
-def _find(own: Iterable[explain.Line], kind: str) -> explain.Line | None:
+def _find_last(
+    request_lines: Iterable[explain.LogLine], kind: str
+) -> explain.LogLine | None:
     """Returns the last line of a kind."""
     return max(
-        (line for line in own if line.kind == kind),
+        (line for line in request_lines if line.kind == kind),
         key=lambda line: line.time_s,
         default=None,
     )
 
 
-def _show_causes(losses: list[Loss]) -> None:
-    tiers = sorted({loss.tier for loss in losses})
+def _show_causes(outcomes: list[RequestOutcome]) -> None:
+    tiers = sorted({outcome.tier for outcome in outcomes})
     sums: dict[tuple[Cause, str], float] = collections.defaultdict(float)
-    total = sum(loss.weight for loss in losses)
-    for loss in losses:
-        sums[loss.cause, loss.tier] += loss.weight
+    total = sum(outcome.weight for outcome in outcomes)
+    for outcome in outcomes:
+        sums[outcome.cause, outcome.tier] += outcome.weight
     head = "".join(f"{tier:>10}" for tier in tiers)
     click.echo(f"{'what became of them':<44}{'part':>7}{head}")
     for cause in Cause:
@@ -203,19 +218,21 @@
             click.echo(f"{cause.value:<44}{share:>7.3f}{cells}")
 
 
-def _show_windows(losses: list[Loss], window_s: float) -> None:
+def _show_windows(outcomes: list[RequestOutcome], window_s: float) -> None:
     """Shows the windows of time in which most was lost, and why."""
-    begin = min(loss.asked_s for loss in losses)
+    begin = min(outcome.received_s for outcome in outcomes)
 
-    def get_number(loss: Loss) -> int:
-        return int((loss.asked_s - begin) // window_s)
+    def get_window(outcome: RequestOutcome) -> int:
+        return int((outcome.received_s - begin) // window_s)
 
-    ordered = sorted(losses, key=get_number)
+    ordered = sorted(outcomes, key=get_window)
     lost = {
-        number: _sum_losses(group)
-        for number, group in itertools.groupby(ordered, get_number)
+        number: _sum_lost_weights(group)
+        for number, group in itertools.groupby(ordered, get_window)
     }
-    worst = sorted(lost, key=lambda n: -sum(lost[n].values()))[:WORST_WINDOWS]
+    worst = sorted(lost, key=lambda n: -sum(lost[n].values()))[
+        :MAX_SHOWN_WINDOWS
+    ]
     click.echo(
         f"most was lost in these {window_s:g} s, from the first request:"
     )
@@ -223,14 +240,14 @@
         by_weight = sorted(lost[number].items(), key=lambda item: -item[1])
         reasons = ", ".join(
             f"{cause.value} {weight:g}"
-            for cause, weight in by_weight[:SHOWN_REASONS]
+            for cause, weight in by_weight[:MAX_SHOWN_CAUSES]
         )
         click.echo(f"{number * window_s:>8.1f} s  {reasons}")
 
 
-def _sum_losses(losses: Iterable[Loss]) -> dict[Cause, float]:
+def _sum_lost_weights(outcomes: Iterable[RequestOutcome]) -> dict[Cause, float]:
     sums: dict[Cause, float] = collections.defaultdict(float)
-    for loss in losses:
-        if loss.cause is not Cause.IN_TIME:
-            sums[loss.cause] += loss.weight
+    for outcome in outcomes:
+        if outcome.cause is not Cause.IN_TIME:
+            sums[outcome.cause] += outcome.weight
     return sums
--- a/ramptray/command/peers.py
+++ b/ramptray/command/peers.py
@@ -16,7 +16,7 @@
 from ramptray.peer import link as peer_link
 from ramptray.peer import message as peer_message
 
-ASK_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
 
 SETTINGS_OPTION = click.option(
     "--settings",
@@ -37,7 +37,7 @@
     return parsing.read_model(file, settings.OperatorSettings)
 
 
-class Peers:
+class SchedulerClient:
     """All schedulers that can be found from a few of them."""
 
     def __init__(
@@ -46,7 +46,7 @@
         self._schedulers = frozenset(schedulers)
         self._client = client
 
-    async def ask_all(
+    async def query_all(
         self, question: Any, addresses: list[str]
     ) -> dict[str, Any]:
         """Returns the answers of those that answered, by address."""
@@ -55,7 +55,7 @@
         async def ask(address: str) -> None:
             with contextlib.suppress(peer_link.LinkError):
                 answers[address] = await self._client.ask(
-                    address, question, ASK_S
+                    address, question, REQUEST_TIMEOUT_S
                 )
 
         async with anyio.create_task_group() as tasks:
@@ -63,7 +63,7 @@
                 tasks.start_soon(ask, address)
         return {a: answers[a] for a in addresses if a in answers}
 
-    async def find_reports(self) -> dict[str, dict[str, Any]]:
+    async def fetch_reports(self) -> dict[str, dict[str, Any]]:
         """Returns every reachable scheduler's report, by VM.
 
         Starts from the settings and goes on to whom the reports name.
@@ -73,7 +73,7 @@
         wanted = set(self._schedulers)
         while wanted:
             asked |= wanted
-            answers = await self.ask_all(
+            answers = await self.query_all(
                 peer_message.AskStatus(), sorted(wanted)
             )
             for answer in answers.values():
@@ -89,21 +89,23 @@
 
 
 @contextlib.asynccontextmanager
-async def open_peers(
-    given: settings.OperatorSettings,
-) -> AsyncIterator[Peers]:
+async def open_client_from_settings(
+    operator_settings: settings.OperatorSettings,
+) -> AsyncIterator[SchedulerClient]:
     """Opens the channels to a deployment's schedulers."""
-    async with open_schedulers(given.schedulers, given.tls) as found:
-        yield found
+    async with open_client(
+        operator_settings.schedulers, operator_settings.tls
+    ) as client:
+        yield client
 
 
 @contextlib.asynccontextmanager
-async def open_schedulers(
+async def open_client(
     schedulers: Iterable[str], tls: settings.TlsSettings | None = None
-) -> AsyncIterator[Peers]:
+) -> AsyncIterator[SchedulerClient]:
     """Opens the channels to schedulers that are known by their addresses."""
     client = peer_link.PeerClient(clock.HybridClock(wallclock.read), tls)
     try:
-        yield Peers(schedulers, client)
+        yield SchedulerClient(schedulers, client)
     finally:
         await client.close()
--- a/ramptray/command/rollout.py
+++ b/ramptray/command/rollout.py
@@ -16,8 +16,8 @@
 from ramptray.command.error import CommandError
 from ramptray.log import client as log_client
 
-POLL_S = 0.1
-PROGRESS_S = 2.0
+POLL_INTERVAL_S = 0.1
+PROGRESS_INTERVAL_S = 2.0
 
 _ADVICE = {
     acceptance.RolloutStatus.WRONG_BASE: (
@@ -58,9 +58,9 @@
     show_in_force: bool,
 ) -> None:
     """Publishes the signed bundle in FILE and waits until it is in force."""
-    given = peers.read_settings(settings_file)
+    operator_settings = peers.read_settings(settings_file)
     if show_in_force:
-        click.echo(anyio.run(_show_in_force, given))
+        click.echo(anyio.run(_show_in_force, operator_settings))
         return
     if file is None:
         raise click.UsageError("FILE is needed")
@@ -68,29 +68,33 @@
     checked = bundle.parse(file, envelope)
     if not envelope.signatures:
         raise CommandError(f"{file}: not signed; run ramptray bundle sign")
-    anyio.run(_roll_out, given, envelope, checked.generation, wait_s)
+    anyio.run(
+        _roll_out, operator_settings, envelope, checked.generation, wait_s
+    )
 
 
-async def _show_in_force(given: settings.OperatorSettings) -> str:
-    reader = await _read_log(log_client.HttpLog(given.platform), given)
-    if reader.in_force is None:
+async def _show_in_force(operator_settings: settings.OperatorSettings) -> str:
+    tracker = await _read_log(
+        log_client.HttpLog(operator_settings.platform), operator_settings
+    )
+    if tracker.in_force is None:
         raise CommandError("no bundle is in force yet")
-    shown = msgspec.json.encode(reader.in_force.envelope)
+    shown = msgspec.json.encode(tracker.in_force.envelope)
     return msgspec.json.format(shown).decode()
 
 
 async def _roll_out(
-    given: settings.OperatorSettings,
+    operator_settings: settings.OperatorSettings,
     envelope: signature.Envelope,
     generation: int,
     wait_s: float,
 ) -> None:
-    began = steadyclock.read()
-    log = log_client.HttpLog(given.platform)
-    reader = await _read_log(log, given)
-    view = reader.log_view
+    started_at = steadyclock.read()
+    log = log_client.HttpLog(operator_settings.platform)
+    tracker = await _read_log(log, operator_settings)
+    base = tracker.log_view
     record = bundle_record.format_record(
-        bundle_record.make_rollout(envelope, view.envelope if view else None)
+        bundle_record.make_rollout(envelope, base.envelope if base else None)
     )
     try:
         offset = await log.append(bundle_record.STREAM, record)
@@ -100,14 +104,14 @@
             "come into force. To roll the same file out again is harmless"
         ) from error
     click.echo(f"appended at offset {offset}")
-    await _check_verdict(log, given, envelope)
-    async with peers.open_peers(given) as found:
-        await _wait_in_force(found, generation, wait_s, began)
+    await _check_status(log, operator_settings, envelope)
+    async with peers.open_client_from_settings(operator_settings) as client:
+        await _wait_until_in_force(client, generation, wait_s, started_at)
 
 
-async def _check_verdict(
+async def _check_status(
     log: log_client.Log,
-    given: settings.OperatorSettings,
+    operator_settings: settings.OperatorSettings,
     envelope: signature.Envelope,
 ) -> None:
     """Reads the log as every scheduler does and says what it decided.
@@ -115,81 +119,89 @@
     Raises:
         CommandError: The bundle was not accepted.
     """
-    reader = await _read_log(log, given)
-    verdict = reader.statuses.get(envelope.digest)
+    tracker = await _read_log(log, operator_settings)
+    status = tracker.statuses.get(envelope.digest)
     accepted = (
         acceptance.RolloutStatus.ACCEPTED,
         acceptance.RolloutStatus.REPEATED,
     )
-    if verdict in accepted:
+    if status in accepted:
         return
-    current = reader.in_force
+    current = tracker.in_force
     by = (
         f"generation {current.generation} ({current.envelope.digest}, signed "
         f"by {', '.join(current.envelope.signatures)}) is in force"
         if current
         else "no bundle is in force"
     )
-    assert verdict is not None
-    advice = _ADVICE.get(verdict, "")
-    raise CommandError(f"not accepted, {verdict.value}: {by}; {advice}")
+    assert status is not None
+    advice = _ADVICE.get(status, "")
+    raise CommandError(f"not accepted, {status.value}: {by}; {advice}")
 
 
 async def _read_log(
-    log: log_client.Log, given: settings.OperatorSettings
+    log: log_client.Log, operator_settings: settings.OperatorSettings
 ) -> acceptance.RolloutLogTracker:
-    reader = acceptance.RolloutLogTracker(given.trust)
+    tracker = acceptance.RolloutLogTracker(operator_settings.trust)
     try:
         while True:
-            page = await log.read(bundle_record.STREAM, reader.next_offset, 0.0)
-            reader.skip_to(page.first_retained)
+            page = await log.read(
+                bundle_record.STREAM, tracker.next_offset, 0.0
+            )
+            tracker.skip_to(page.first_retained)
             for record in page.records:
                 parsed = bundle_record.parse_record(record.body)
                 if parsed is not None:
-                    reader.apply(record.offset, parsed)
-            if not page.records or reader.next_offset >= page.next_offset:
-                return reader
+                    tracker.apply(record.offset, parsed)
+            if not page.records or tracker.next_offset >= page.next_offset:
+                return tracker
     except log_client.PlatformError as error:
         raise CommandError(f"the log gave no answer ({error})") from error
 
 
-async def _wait_in_force(
-    found: peers.Peers, generation: int, wait_s: float, began: float
+async def _wait_until_in_force(
+    client: peers.SchedulerClient,
+    generation: int,
+    wait_s: float,
+    started_at: float,
 ) -> None:
     """Waits until every live VM works by the generation.
 
     Raises:
         CommandError: Some do not in time.
     """
-    seen: dict[str, float] = {}
+    in_force_after_s: dict[str, float] = {}
     shown_at = steadyclock.read()
     while True:
-        reports = await found.find_reports()
+        reports = await client.fetch_reports()
         for vm, report in reports.items():
-            if vm not in seen and get_generation(report) >= generation:
-                seen[vm] = steadyclock.read() - began
+            if (
+                vm not in in_force_after_s
+                and get_applied_generation(report) >= generation
+            ):
+                in_force_after_s[vm] = steadyclock.read() - started_at
                 click.echo(
-                    f"{vm:<24} generation {get_generation(report)}  "
-                    f"{seen[vm]:.2f} s"
+                    f"{vm:<24} generation {get_applied_generation(report)}  "
+                    f"{in_force_after_s[vm]:.2f} s"
                 )
-        late = sorted(set(reports) - set(seen))
+        late = sorted(set(reports) - set(in_force_after_s))
         if reports and not late:
-            click.echo(f"in force on {len(seen)} VMs")
+            click.echo(f"in force on {len(in_force_after_s)} VMs")
             return
-        if steadyclock.read() - began > wait_s:
+        if steadyclock.read() - started_at > wait_s:
             names = ", ".join(late) or "no scheduler answers"
             raise CommandError(
                 f"accepted, but after {wait_s:g} s not yet in force on: "
                 f"{names}; it will come into force there when they can be "
                 "reached"
             )
-        if steadyclock.read() - shown_at > PROGRESS_S:
+        if steadyclock.read() - shown_at > PROGRESS_INTERVAL_S:
             shown_at = steadyclock.read()
             click.echo(f"waiting for {', '.join(late)}", err=True)
-        await anyio.sleep(POLL_S)
+        await anyio.sleep(POLL_INTERVAL_S)
 
 
-def get_generation(report: dict[str, Any]) -> int:
+def get_applied_generation(report: dict[str, Any]) -> int:
     """Returns the generation by which everything on a VM works."""
     attached = [process["generation"] for process in report["attached"]]
     return int(min([report["generation"], *attached]))
--- a/ramptray/command/status.py
+++ b/ramptray/command/status.py
@@ -20,8 +20,8 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def command(settings_file: pathlib.Path, as_json: bool) -> None:
     """Shows VMs, shards and backend servers."""
-    given = peers.read_settings(settings_file)
-    reports = anyio.run(fetch, given)
+    operator_settings = peers.read_settings(settings_file)
+    reports = anyio.run(fetch_reports, operator_settings)
     if not reports:
         raise CommandError("no scheduler answers")
     if as_json:
@@ -42,7 +42,7 @@
         lease = "holds" if report.get("lease") else ""
         yield (
             f"{vm:<20}{report['zone']:<18}"
-            f"{rollout.get_generation(report):<12}{log:<6}"
+            f"{rollout.get_applied_generation(report):<12}{log:<6}"
             f"{_format_age(report['log_age_s']):>8}"
             f"{_count_alive(report):>7}  {lease}"
         )
@@ -51,7 +51,7 @@
         f"{'shard':<34}{'owner':<20}{'waiting by tier':<18}{'running':>8}"
         f"{'granted':>8}{'spilled':>8}  shed in the last minute"
     )
-    for vm, shard in _iterate_owned(reports):
+    for vm, shard in _iterate_owned_shards(reports):
         waiting = " ".join(map(str, shard["waiting_by_tier"]))
         yield (
             f"{shard['shard']:<34}{vm:<20}{waiting:<18}"
@@ -63,7 +63,7 @@
         f"{'backend server':<24}{'state':<10}{'running':>8}{'places':>7}"
         f"{'prefill/s':>11}{'step':>9}"
     )
-    for _, shard in _iterate_owned(reports):
+    for _, shard in _iterate_owned_shards(reports):
         for server in shard["backend_servers"]:
             yield (
                 f"{server['name']:<24}{server['state']:<10}"
@@ -79,7 +79,7 @@
     """Yields a line for each release that is rolled out, if there are any."""
     found = [
         (vm, shard, shard["rollout"])
-        for vm, shard in _iterate_owned(reports)
+        for vm, shard in _iterate_owned_shards(reports)
         if shard.get("rollout")
     ]
     if not found:
@@ -89,13 +89,13 @@
         f"{'release rolled out':<34}{'owner':<20}{'state':<13}"
         f"{'requests':>10}{'of':>8}{'answers':>9}{'failed':>8}  why"
     )
-    for vm, shard, told in found:
-        name = f"{shard['shard']} {told['release']}"
+    for vm, shard, progress in found:
+        name = f"{shard['shard']} {progress['release']}"
         yield (
-            f"{name:<34}{vm:<20}{told['state']:<13}"
-            f"{told['sent_new']:>10}{told['sent']:>8}"
-            f"{told['answers_new']:>9}{told['failures_new']:>8}"
-            f"  {told['reason']}"
+            f"{name:<34}{vm:<20}{progress['state']:<13}"
+            f"{progress['sent_new']:>10}{progress['sent']:>8}"
+            f"{progress['answers_new']:>9}{progress['failures_new']:>8}"
+            f"  {progress['reason']}"
         )
 
 
@@ -113,7 +113,7 @@
     return ", ".join(parts) or "none"
 
 
-def _iterate_owned(
+def _iterate_owned_shards(
     reports: dict[str, dict[str, Any]],
 ) -> Iterator[tuple[str, dict[str, Any]]]:
     for vm, report in reports.items():
@@ -122,9 +122,9 @@
                 yield vm, shard
 
 
-async def fetch(
-    given: settings.OperatorSettings,
+async def fetch_reports(
+    operator_settings: settings.OperatorSettings,
 ) -> dict[str, dict[str, Any]]:
     """Returns every reachable scheduler's report, by VM."""
-    async with peers.open_peers(given) as found:
-        return await found.find_reports()
+    async with peers.open_client_from_settings(operator_settings) as client:
+        return await client.fetch_reports()
--- a/ramptray/command/timeline.py
+++ b/ramptray/command/timeline.py
@@ -11,12 +11,12 @@
 import msgspec
 
 from ramptray import settings, timeline
-from ramptray.command import lanes, peers
+from ramptray.command import peers, timeline_page
 from ramptray.command.error import CommandError
 from ramptray.peer import message as peer_message
 
-LIVE_EVERY_S = 0.5
-_FIXED = ("clock", "process", "zone", "kind", "subject")
+LIVE_INTERVAL_S = 0.5
+_COLUMN_FIELDS = ("clock", "process", "zone", "kind", "subject")
 _PATH = click.Path(path_type=pathlib.Path)
 
 
@@ -52,15 +52,15 @@
     caused another event stands before it, whatever the VMs' clocks say.
     """
     if live:
-        anyio.run(_follow, _read(settings_file), subject)
+        anyio.run(_follow, _read_settings(settings_file), subject)
         return
     events = (
         sort_events(read_logs(logs, subject))
         if logs
-        else anyio.run(fetch, _read(settings_file), 0, subject)
+        else anyio.run(fetch_events, _read_settings(settings_file), 0, subject)
     )
     if html_file is not None:
-        page = lanes.make_page(f"Time line {subject}".strip(), events)
+        page = timeline_page.make_page(f"Time line {subject}".strip(), events)
         html_file.write_text(page)
         click.echo(f"{html_file}: {len(events)} events")
         return
@@ -72,13 +72,13 @@
         )
 
 
-async def fetch(
-    given: settings.OperatorSettings, after: int, subject: str
+async def fetch_events(
+    operator_settings: settings.OperatorSettings, after: int, subject: str
 ) -> list[dict[str, Any]]:
     """Returns the events of all processes, in the order of their clocks."""
-    async with peers.open_peers(given) as found:
-        reports = await found.find_reports()
-        answers = await found.ask_all(
+    async with peers.open_client_from_settings(operator_settings) as client:
+        reports = await client.fetch_reports()
+        answers = await client.query_all(
             peer_message.AskTimeline(after, subject),
             [report["address"] for report in reports.values()],
         )
@@ -115,7 +115,7 @@
     details = " ".join(
         f"{name}={value}"
         for name, value in event.items()
-        if name not in _FIXED and value is not None
+        if name not in _COLUMN_FIELDS and value is not None
     )
     seconds = (event["clock"] - first) / 1e6
     return (
@@ -124,18 +124,20 @@
     )
 
 
-async def _follow(given: settings.OperatorSettings, subject: str) -> None:
+async def _follow(
+    operator_settings: settings.OperatorSettings, subject: str
+) -> None:
     after = first = 0
     while True:
-        events = await fetch(given, after, subject)
+        events = await fetch_events(operator_settings, after, subject)
         for event in events:
             first = first or event["clock"]
             after = event["clock"]
             click.echo(format_event(event, first))
-        await anyio.sleep(LIVE_EVERY_S)
+        await anyio.sleep(LIVE_INTERVAL_S)
 
 
-def _read(file: pathlib.Path | None) -> settings.OperatorSettings:
+def _read_settings(file: pathlib.Path | None) -> settings.OperatorSettings:
     if file is None:
         raise click.UsageError("--settings or --logs is needed")
     return peers.read_settings(file)
--- a/ramptray/load/main.py
+++ b/ramptray/load/main.py
@@ -15,14 +15,14 @@
 import ramptray
 from ramptray import process, steadyclock
 from ramptray.bundle import parsing
-from ramptray.load import plan, report, shooter
+from ramptray.load import plan, report, sender
 
-PROGRESS_S = 1.0
+PROGRESS_INTERVAL_S = 1.0
 
 
 async def run_load(
     settings: plan.LoadSettings, show: Callable[[str], None]
-) -> list[shooter.Hit]:
+) -> list[sender.RequestResult]:
     """Sends the whole schedule and returns what became of each request.
 
     Args:
@@ -30,33 +30,35 @@
         show: Shows a line of progress.
     """
     schedule = plan.make_schedule(settings)
-    hits: list[shooter.Hit] = []
-    gun = shooter.Shooter(settings)
-    began = steadyclock.read()
+    results: list[sender.RequestResult] = []
+    load_sender = sender.LoadSender(settings)
+    started_at = steadyclock.read()
 
-    async def send(shot: plan.Shot) -> None:
-        hits.append(await gun.shoot(shot, steadyclock.read() - began))
+    async def send(request: plan.ScheduledRequest) -> None:
+        results.append(
+            await load_sender.send(request, steadyclock.read() - started_at)
+        )
 
     async def show_progress() -> None:
         while True:
-            await anyio.sleep(PROGRESS_S)
-            useful = sum(hit.useful for hit in hits)
-            spent = steadyclock.read() - began
+            await anyio.sleep(PROGRESS_INTERVAL_S)
+            useful = sum(result.useful for result in results)
+            elapsed_s = steadyclock.read() - started_at
             show(
-                f"{spent:5.0f} s  {len(hits)}/{len(schedule)} ended, "
+                f"{elapsed_s:5.0f} s  {len(results)}/{len(schedule)} ended, "
                 f"{useful} useful"
             )
 
     async with anyio.create_task_group() as progress:
         progress.start_soon(show_progress)
         async with anyio.create_task_group() as tasks:
-            for shot in schedule:
-                wait_s = shot.at_s - (steadyclock.read() - began)
+            for request in schedule:
+                wait_s = request.at_s - (steadyclock.read() - started_at)
                 if wait_s > 0:
                     await anyio.sleep(wait_s)
-                tasks.start_soon(send, shot)
+                tasks.start_soon(send, request)
         progress.cancel_scope.cancel()
-    return hits
+    return results
 
 
 async def read_ledgers(urls: list[str]) -> list[dict[str, Any]]:
@@ -72,11 +74,13 @@
     return ledgers
 
 
-def write_record(path: pathlib.Path, hits: list[shooter.Hit]) -> None:
+def write_record(
+    path: pathlib.Path, results: list[sender.RequestResult]
+) -> None:
     """Writes each request's end as a JSON line."""
     with path.open("wb") as file:
-        for hit in hits:
-            fields = {**msgspec.to_builtins(hit), "useful": hit.useful}
+        for result in results:
+            fields = {**msgspec.to_builtins(result), "useful": result.useful}
             fields.pop("gaps")
             file.write(msgspec.json.encode(fields) + b"\n")
 
@@ -113,16 +117,16 @@
     def show(line: str) -> None:
         click.echo(line, err=True)
 
-    async def main() -> tuple[list[shooter.Hit], list[dict[str, Any]]]:
+    async def main() -> tuple[list[sender.RequestResult], list[dict[str, Any]]]:
         found = await run_load(
             settings, lambda line: click.echo(line, err=True)
         )
         return found, await read_ledgers(settings.engines)
 
-    hits, ledgers = anyio.run(main)
+    results, ledgers = anyio.run(main)
     if record is not None:
-        write_record(record, hits)
-    reports = report.sum_up(hits)
+        write_record(record, results)
+    reports = report.summarize_tiers(results)
     summary = report.summarize(reports, ledgers)
     click.echo(report.format_table(reports))
     click.echo(f"wasted prefill: {summary['wasted_prefill_share']:.2%}")
--- a/ramptray/load/plan.py
+++ b/ramptray/load/plan.py
@@ -13,7 +13,7 @@
 from ramptray.bundle import model
 from ramptray.core import prefix
 
-WORD = "lorem "
+FILLER_WORD = "lorem "
 
 
 class Kind(enum.Enum):
@@ -96,13 +96,13 @@
     log_level: str = "WARNING"
 
 
-class Shot(msgspec.Struct, frozen=True):
+class ScheduledRequest(msgspec.Struct, frozen=True):
     """One request to be sent.
 
     Attributes:
         at_s: When, from the beginning.
         number: Its place in the schedule.
-        kind: What it is.
+        load_class: Its class.
         prompt: Its prompt, or the body of a call to a plain service.
         max_tokens: Output tokens asked for.
         key: Idempotency key, where it may not be repeated.
@@ -110,64 +110,68 @@
 
     at_s: float
     number: int
-    kind: LoadClass
+    load_class: LoadClass
     prompt: str
     max_tokens: int
     key: str | None
 
 
-def make_schedule(settings: LoadSettings) -> list[Shot]:
+def make_schedule(settings: LoadSettings) -> list[ScheduledRequest]:
     """Returns the requests to send, in order; the seed alone decides."""
     rng = random.Random(settings.seed)
-    shots = [
-        _draw_shot(kind, at_s, rng)
-        for kind in settings.classes
-        for at_s in _draw_times(kind, settings, rng)
+    requests = [
+        _draw_request(load_class, at_s, rng)
+        for load_class in settings.classes
+        for at_s in _draw_times(load_class, settings, rng)
     ]
-    shots.sort(key=lambda shot: shot.at_s)
+    requests.sort(key=lambda request: request.at_s)
     return [
-        msgspec.structs.replace(shot, number=number)
-        for number, shot in enumerate(shots)
+        msgspec.structs.replace(request, number=number)
+        for number, request in enumerate(requests)
     ]
 
 
 def _draw_times(
-    kind: LoadClass, settings: LoadSettings, rng: random.Random
+    load_class: LoadClass, settings: LoadSettings, rng: random.Random
 ) -> list[float]:
     """Draws arrivals of a Poisson process whose rate rises in bursts."""
     highest = max([1.0, *(burst.factor for burst in settings.bursts)])
     times: list[float] = []
-    at_s = rng.expovariate(kind.rate_per_s * highest)
+    at_s = rng.expovariate(load_class.rate_per_s * highest)
     while at_s < settings.duration_s:
-        if rng.random() < _get_factor(at_s, settings.bursts) / highest:
+        if rng.random() < _get_rate_factor(at_s, settings.bursts) / highest:
             times.append(at_s)
-        at_s += rng.expovariate(kind.rate_per_s * highest)
+        at_s += rng.expovariate(load_class.rate_per_s * highest)
     return times
 
 
-def _get_factor(at_s: float, bursts: list[Burst]) -> float:
+def _get_rate_factor(at_s: float, bursts: list[Burst]) -> float:
     factors = [b.factor for b in bursts if b.at_s <= at_s < b.at_s + b.for_s]
     return max(factors, default=1.0)
 
 
-def _draw_shot(kind: LoadClass, at_s: float, rng: random.Random) -> Shot:
-    low, high = kind.prompt_tokens
+def _draw_request(
+    load_class: LoadClass, at_s: float, rng: random.Random
+) -> ScheduledRequest:
+    low, high = load_class.prompt_tokens
     tokens = int(math.exp(rng.uniform(math.log(low), math.log(high))))
-    group = rng.randrange(kind.groups)
-    shared = _make_text(f"{kind.customer} {group}", kind.shared_tokens)
+    group = rng.randrange(load_class.groups)
+    shared = _make_text(
+        f"{load_class.customer} {group}", load_class.shared_tokens
+    )
     own = _make_text(f"{rng.getrandbits(64):016x}", max(tokens, 8))
     key = str(uuid.UUID(int=rng.getrandbits(128), version=4))
-    return Shot(
+    return ScheduledRequest(
         at_s,
         0,
-        kind,
+        load_class,
         shared + own,
-        rng.randint(*kind.max_tokens),
-        None if kind.repeatable else key,
+        rng.randint(*load_class.max_tokens),
+        None if load_class.repeatable else key,
     )
 
 
 def _make_text(start: str, tokens: int) -> str:
     length = tokens * prefix.CHARS_PER_TOKEN
-    repeats = length // len(WORD) + 1
-    return (f"{start} " + WORD * repeats)[:length]
+    repeats = length // len(FILLER_WORD) + 1
+    return (f"{start} " + FILLER_WORD * repeats)[:length]
--- a/ramptray/load/report.py
+++ b/ramptray/load/report.py
@@ -9,7 +9,7 @@
 import msgspec
 from hdrh import histogram
 
-from ramptray.load import shooter
+from ramptray.load import sender
 
 _HIGHEST_US = 600_000_000
 
@@ -50,12 +50,16 @@
     reasons: dict[str, int]
 
 
-def sum_up(hits: Iterable[shooter.Hit]) -> list[TierReport]:
+def summarize_tiers(
+    results: Iterable[sender.RequestResult],
+) -> list[TierReport]:
     """Returns a report for each tier."""
-    by_tier: dict[str, list[shooter.Hit]] = collections.defaultdict(list)
-    for hit in hits:
-        by_tier[hit.tier].append(hit)
-    return [_sum_up_tier(tier, found) for tier, found in by_tier.items()]
+    by_tier: dict[str, list[sender.RequestResult]] = collections.defaultdict(
+        list
+    )
+    for result in results:
+        by_tier[result.tier].append(result)
+    return [_summarize_tier(tier, found) for tier, found in by_tier.items()]
 
 
 def get_percentile(values: Iterable[float], quantile: float) -> float | None:
@@ -94,28 +98,32 @@
     }
 
 
-def _sum_up_tier(tier: str, hits: list[shooter.Hit]) -> TierReport:
-    outcomes = collections.Counter(hit.outcome for hit in hits)
-    firsts = [h.first_token_s for h in hits if h.first_token_s is not None]
-    gaps = [gap for hit in hits for gap in hit.gaps]
-    useful = [hit for hit in hits if hit.useful]
-    complete = [hit for hit in hits if hit.outcome == "complete"]
+def _summarize_tier(
+    tier: str, results: list[sender.RequestResult]
+) -> TierReport:
+    outcomes = collections.Counter(result.outcome for result in results)
+    firsts = [h.first_token_s for h in results if h.first_token_s is not None]
+    gaps = [gap for result in results for gap in result.gaps]
+    useful = [result for result in results if result.useful]
+    complete = [result for result in results if result.outcome == "complete"]
     return TierReport(
         tier,
-        sent=len(hits),
+        sent=len(results),
         complete=len(complete),
         useful=len(useful),
         not_run=outcomes["not_run"],
         unknown=outcomes["unknown"],
         late=outcomes["late"],
         broken=outcomes["broken"],
-        wrong=sum(not hit.whole for hit in complete),
-        useful_tokens=sum(hit.tokens for hit in useful),
+        wrong=sum(not result.whole for result in complete),
+        useful_tokens=sum(result.tokens for result in useful),
         first_token_p50_s=get_percentile(firsts, 50),
         first_token_p95_s=get_percentile(firsts, 95),
         gap_p95_s=get_percentile(gaps, 95),
         reasons=dict(
-            collections.Counter(hit.reason for hit in hits if hit.reason)
+            collections.Counter(
+                result.reason for result in results if result.reason
+            )
         ),
     )
 
--- a/test/test_losses.py
+++ b/test/test_losses.py
@@ -14,13 +14,13 @@
 
 def make_line(
     at_s: float, kind: str, subject: str, **details: Any
-) -> explain.Line:
-    return explain.Line(at_s, "node/vm-1", kind, subject, details)
+) -> explain.LogLine:
+    return explain.LogLine(at_s, "node/vm-1", kind, subject, details)
 
 
 def make_request(
     name: str, at_s: float, *steps: tuple[float, str, dict[str, Any]]
-) -> list[explain.Line]:
+) -> list[explain.LogLine]:
     """Returns a request's lines; the steps tell time, kind and details."""
     return [
         make_line(at_s, "request", name, tier="urgent"),
@@ -56,14 +56,14 @@
             ],
             "LATE_WAITING",
         ),
-        ([end("customer_limit")], "LIMIT"),
-        ([end("overloaded")], "NO_PLACE"),
-        ([end("deadline")], "NO_PLACE"),
-        ([GRANT, DISPATCH, end("deadline")], "TIME_OVER"),
+        ([end("customer_limit")], "CUSTOMER_LIMIT"),
+        ([end("overloaded")], "NO_SLOT"),
+        ([end("deadline")], "NO_SLOT"),
+        ([GRANT, DISPATCH, end("deadline")], "DEADLINE_EXCEEDED"),
         ([end("no_backend")], "NO_BACKEND"),
         ([end("not_ready")], "NOT_READY"),
         ([GRANT, DISPATCH, end("backend_lost")], "BACKEND_FAILED"),
-        ([GRANT, DISPATCH, end("caller_gone")], "CALLER_GONE"),
+        ([GRANT, DISPATCH, end("caller_gone")], "CALLER_DISCONNECTED"),
         ([GRANT, DISPATCH], "VM_DOWN"),
         ([end("key_expired")], "OTHER"),
     ],
@@ -71,9 +71,9 @@
 def test_each_request_has_one_cause(
     steps: list[tuple[float, str, dict[str, Any]]], cause: str
 ) -> None:
-    (found,) = losses.judge_all(make_request("r", 5.0, *steps), {})
+    (found,) = losses.classify_requests(make_request("r", 5.0, *steps), {})
     assert found.cause is losses.Cause[cause]
-    assert (found.asked_s, found.tier, found.weight) == (5.0, "urgent", 1.0)
+    assert (found.received_s, found.tier, found.weight) == (5.0, "urgent", 1.0)
 
 
 def test_the_table_weighs_tiers_and_tells_the_worst_moments(
@@ -114,7 +114,7 @@
     assert "no line of these logs" in str(result.exception)
 
 
-def format_line(line: explain.Line) -> str:
+def format_line(line: explain.LogLine) -> str:
     """Returns a line as a program logs it."""
     event = {
         "clock": int(line.time_s * 1e6),
