--- a/ramptray/command/rollout.py
+++ b/ramptray/command/rollout.py
@@ -92,7 +92,7 @@
     started_at = steadyclock.read()
     log = log_client.HttpLog(operator_settings.platform)
     tracker = await _read_log(log, operator_settings)
-    base = tracker.log_view
+    base = tracker.log_in_force
     record = bundle_record.format_record(
         bundle_record.make_rollout(envelope, base.envelope if base else None)
     )
