--- a/ramptray/command/__init__.py
+++ b/ramptray/command/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line: one module a command."""
+"""The operators' command line, with one module for each command."""
--- a/ramptray/command/blocked.py
+++ b/ramptray/command/blocked.py
@@ -1,4 +1,4 @@
-"""``ramptray blocked``: contents that no backend server is given any more."""
+"""``ramptray blocked``: lists and lifts blocks on request contents."""
 
 from __future__ import annotations
 
@@ -28,9 +28,11 @@
     "--scheduler",
     "schedulers",
     multiple=True,
-    help="IP number and port of a scheduler, instead of settings.",
+    help="IP address and port of a scheduler, instead of --settings.",
+)
+@click.option(
+    "--lift", "content", default="", help="Digest of a content to unblock."
 )
-@click.option("--lift", "content", default="", help="Serve a content again.")
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def command(
     settings_file: pathlib.Path | None,
@@ -38,21 +40,21 @@
     content: str,
     as_json: bool,
 ) -> None:
-    """Shows the contents that ended backend servers, or lifts a block.
+    """Lists contents that crashed backend servers, or lifts a block.
 
-    A content is named by a digest, which "request" and "content blocked" lines
-    of the logs hold too.
+    Contents are identified by a digest, which the "request" and "content
+    blocked" log lines contain too.
     """
     tls = None
     if not schedulers:
         if settings_file is None:
-            raise CommandError("name --settings or --scheduler")
+            raise CommandError("either --settings or --scheduler is required")
         operator_settings = peers.read_settings(settings_file)
         schedulers, tls = (
             tuple(operator_settings.schedulers),
             operator_settings.tls,
         )
-    blocks = anyio.run(_ask, schedulers, tls, content)
+    blocks = anyio.run(_fetch_blocks, schedulers, tls, content)
     if content and content not in {block.content for block in blocks}:
         raise CommandError(f"{content} is not blocked")
     if as_json:
@@ -63,7 +65,7 @@
 
 
 def iterate_lines(blocks: Iterable[blocklist.BlockUpdate]) -> Iterator[str]:
-    """Yields a line for each block."""
+    """Yields the table's header and a line for each block."""
     yield f"{'content':<26}{'left':>8}{'times':>7}{'crashes':>9}  state"
     for block in blocks:
         state = "lifted" if block.lifted else "blocked"
@@ -75,26 +77,26 @@
         )
 
 
-async def _ask(
+async def _fetch_blocks(
     schedulers: tuple[str, ...], tls: settings.TlsSettings | None, content: str
 ) -> list[blocklist.BlockUpdate]:
-    """Returns the blocks that any scheduler knows, longest first.
+    """Returns the merged blocks of all schedulers, longest remaining first.
 
     Raises:
-        CommandError: No scheduler answers.
+        CommandError: No scheduler responds.
     """
-    question: object = peer_message.ListBlocks()
+    request: object = peer_message.ListBlocks()
     if content:
-        question = peer_message.LiftBlock(content)
+        request = peer_message.LiftBlock(content)
     async with peers.open_client(schedulers, tls) as client:
         reports = await client.fetch_reports()
         addresses = [report["address"] for report in reports.values()]
-        answers = await client.query_all(question, addresses)
-    if not answers:
+        responses = await client.query_all(request, addresses)
+    if not responses:
         raise CommandError("no scheduler answers")
     merged: dict[str, blocklist.BlockUpdate] = {}
-    for answer in answers.values():
-        for block in answer.blocks:
+    for response in responses.values():
+        for block in response.blocks:
             known = merged.get(block.content)
             if known is None or (block.level, block.lifted) > (
                 known.level,
--- a/ramptray/command/bundle.py
+++ b/ramptray/command/bundle.py
@@ -29,7 +29,7 @@
 def write_example(file: pathlib.Path, public_key: str) -> None:
     """Writes a commented example bundle to FILE."""
     if file.exists():
-        raise CommandError(f"{file}: exists already")
+        raise CommandError(f"{file}: file already exists")
     example = importlib.resources.files("ramptray.command") / "example.json5"
     file.write_text(example.read_text().replace("@PUBLIC_KEY@", public_key))
     click.echo(f"{file}: written; edit it, then run: ramptray bundle check")
@@ -37,9 +37,11 @@
 
 @group.command(name="check")
 @click.argument("file", type=PATH)
-@click.option("--follows", type=PATH, help="The bundle it is to replace.")
+@click.option(
+    "--follows", type=PATH, help="The bundle that FILE is to replace."
+)
 def check(file: pathlib.Path, follows: pathlib.Path | None) -> None:
-    """Checks FILE, all mistakes at once."""
+    """Validates FILE and reports all mistakes at once."""
     envelope = read_envelope(file)
     checked = parse(file, envelope)
     if follows is not None:
@@ -52,7 +54,7 @@
 @click.argument("old", type=PATH)
 @click.argument("new", type=PATH)
 def diff(old: pathlib.Path, new: pathlib.Path) -> None:
-    """Shows what differs between two bundles, comments aside."""
+    """Shows the differences between two bundles, ignoring comments."""
     lines = [
         msgspec.json.format(
             msgspec.json.encode(parse(file, read_envelope(file))), indent=1
@@ -93,7 +95,7 @@
     key: pathlib.Path,
     out: pathlib.Path | None,
 ) -> None:
-    """Signs FILE; a signed file gets one signature more."""
+    """Signs FILE; if it is signed already, adds a signature."""
     envelope = read_envelope(file)
     parse(file, envelope)
     signed = signature.sign(envelope, operator, keys.read_key(key))
@@ -106,7 +108,7 @@
 @group.command(name="show")
 @click.argument("file", type=PATH)
 def show(file: pathlib.Path) -> None:
-    """Shows what a bundle declares, in short."""
+    """Prints a summary of a bundle."""
     envelope = read_envelope(file)
     shown = parse(file, envelope)
     click.echo(f"generation  {shown.generation}")
@@ -126,7 +128,10 @@
 
 
 def read_envelope(file: pathlib.Path) -> signature.Envelope:
-    """Returns the bundle in a file, signed or not.
+    """Reads a bundle from a file.
+
+    A file that holds no signed envelope is taken as the text of an unsigned
+    bundle.
 
     Raises:
         parsing.InvalidFileError: The file cannot be read.
@@ -143,10 +148,10 @@
 
 
 def parse(file: pathlib.Path, envelope: signature.Envelope) -> model.Bundle:
-    """Returns the bundle in an envelope.
+    """Parses the bundle in an envelope.
 
     Raises:
-        parsing.InvalidFileError: It has mistakes.
+        parsing.InvalidFileError: The bundle is invalid.
     """
     match parsing.parse_bundle(envelope.text):
         case Ok(bundle):
@@ -161,10 +166,10 @@
     base: signature.Envelope,
     base_bundle: model.Bundle,
 ) -> None:
-    """Checks that a bundle follows another.
+    """Checks that a bundle is the direct successor of another.
 
     Raises:
-        parsing.InvalidFileError: It does not.
+        parsing.InvalidFileError: The generation or base does not match.
     """
     violations: list[validation.Violation] = []
     if bundle.generation != base_bundle.generation + 1:
@@ -177,7 +182,7 @@
 
 
 def _set_field(raw: str, field: str, value: str) -> str:
-    """Sets a field of the outermost object, comments left as they are."""
+    """Sets the first field of that name in JSON5 text, preserving comments."""
     pattern = re.compile(rf'("?{field}"?\s*:\s*)(null|\d+|"[^"]*")')
     return pattern.sub(lambda found: found[1] + value, raw, count=1)
 
--- a/ramptray/command/certificate.py
+++ b/ramptray/command/certificate.py
@@ -1,4 +1,4 @@
-"""``ramptray keys authority`` and ``certificate``: keys for mutual TLS."""
+"""``ramptray keys authority`` and ``certificate``: mutual TLS keys."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 @click.command(name="authority")
 @click.argument("folder", type=PATH)
 def make_authority(folder: pathlib.Path) -> None:
-    """Writes a new authority's key and certificate to FOLDER."""
+    """Writes the key and certificate of a new authority to FOLDER."""
     folder.mkdir(parents=True, exist_ok=True)
     key = ec.generate_private_key(ec.SECP256R1())
     name = _make_name("ramptray authority")
@@ -37,8 +37,14 @@
 
 @click.command(name="certificate")
 @click.argument("folder", type=PATH)
-@click.option("--name", required=True, help="Name of the files, as the VM's.")
-@click.option("--server-name", default="ramptray", help="As in the settings.")
+@click.option(
+    "--name",
+    required=True,
+    help="Base name of the files, such as the VM's name.",
+)
+@click.option(
+    "--server-name", default="ramptray", help="Server name, as in the settings."
+)
 def make_certificate(folder: pathlib.Path, name: str, server_name: str) -> None:
     """Writes a key and certificate signed by the authority in FOLDER."""
     authority_key, authority = _read_authority(folder)
@@ -63,9 +69,11 @@
         key = serialization.load_pem_private_key(raw_key, None)
         certificate = x509.load_pem_x509_certificate(raw)
     except (OSError, ValueError) as error:
-        raise CommandError(f"{folder}: no authority ({error})") from error
+        raise CommandError(
+            f"{folder}: no readable authority key and certificate ({error})"
+        ) from error
     if not isinstance(key, ec.EllipticCurvePrivateKey):
-        raise CommandError(f"{folder}/authority.key: not made by ramptray")
+        raise CommandError(f"{folder}/authority.key: not an elliptic curve key")
     return key, certificate
 
 
--- a/ramptray/command/error.py
+++ b/ramptray/command/error.py
@@ -1,7 +1,7 @@
-"""Errors of the operators' command that a user can mend."""
+"""Errors of the operators' command that its user can correct."""
 
 from __future__ import annotations
 
 
 class CommandError(Exception):
-    """The command could not do its work; the text says why."""
+    """The command failed; the message is shown to the user as one line."""
--- a/ramptray/command/explain.py
+++ b/ramptray/command/explain.py
@@ -1,4 +1,4 @@
-"""``ramptray explain``: what became of one request, from collected logs."""
+"""``ramptray explain``: traces one request through collected logs."""
 
 from __future__ import annotations
 
@@ -14,11 +14,13 @@
 from ramptray.command.error import CommandError
 
 LOOKBACK_S = 5.0
-"""How long before a request changes of belief are shown, in seconds: a view
-that misled it is seldom older."""
+"""Age up to which state changes before a request are shown, in seconds.
+
+Stale state that misrouted a request is seldom older.
+"""
 
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
-"""How log lines write the time of day, in UTC."""
+"""Format of the timestamps of log lines, in UTC."""
 
 _PATH = click.Path(path_type=pathlib.Path)
 _EVENT_FIELDS = {"clock", "process", "zone", "kind", "subject"}
@@ -35,12 +37,12 @@
 }
 
 _STATE_KINDS = {"membership", "bundle"}
-"""Kinds of events that tell of a belief, not of a request."""
+"""Kinds of events that report a state change rather than a request."""
 
 REASON_TEXTS: Mapping[str, str] = {
     "customer_limit": "its customer was over its limit at the owner",
-    "overloaded": "no place at a backend server came free in time",
-    "deadline": "the time of the route or the caller was over",
+    "overloaded": "no slot at a backend server became free in time",
+    "deadline": "the deadline of the route or the caller passed",
     "no_backend": "the service had no backend server left",
     "not_ready": "the VM had no configuration, or knew no owner",
     "no_route": "the configuration in force had no such route",
@@ -51,18 +53,18 @@
     "stream_broken": "the answer broke off and could not be resumed",
     "caller_gone": "the caller closed first",
 }
-"""What each reason means, in words."""
+"""Explanation of each reason."""
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """One log line that may matter.
+    """A parsed log line.
 
     Attributes:
-        time_s: When it was written, in seconds of the writer's clock.
-        process: The process that wrote it.
-        kind: The event's kind, or the log's message.
-        subject: The request or other thing it is about; empty for none.
-        details: Further facts.
+        time_s: Time of writing, in seconds of the writer's clock.
+        process: The process that wrote the line.
+        kind: Kind of the event, or the message of a plain log line.
+        subject: The request or other object concerned; empty for none.
+        details: Remaining fields.
     """
 
     time_s: float
@@ -72,7 +74,7 @@
     details: Mapping[str, Any]
 
     def format(self, origin_s: float) -> str:
-        """Returns the line as it is shown."""
+        """Returns the line as text, with the time relative to an origin."""
         facts = " ".join(
             f"{name}={value}"
             for name, value in self.details.items()
@@ -92,10 +94,10 @@
     help="Collected log files, or folders of them.",
 )
 def command(request_id: str, logs: tuple[pathlib.Path, ...]) -> None:
-    """Shows the way of one request, and what was believed at the time.
+    """Traces one request and the state that decisions were based on.
 
-    First comes what the VMs on its way had come to believe shortly before,
-    then each decision on the request, and last why it ended.
+    Shows the state changes on the VMs involved shortly before the request,
+    then each decision on it, and finally why it ended.
     """
     lines = sorted(read_lines(list_files(logs)), key=lambda line: line.time_s)
     request_lines = [line for line in lines if line.subject == request_id]
@@ -111,20 +113,20 @@
     click.echo(f"ended: {describe_end(request_lines)}")
 
 
-def list_files(given: Iterable[pathlib.Path]) -> list[pathlib.Path]:
-    """Returns files, and those of folders, in order."""
+def list_files(paths: Iterable[pathlib.Path]) -> list[pathlib.Path]:
+    """Expands folders to the files directly in them, sorted by name."""
     return list(
         itertools.chain.from_iterable(
             sorted(p for p in path.iterdir() if p.is_file())
             if path.is_dir()
             else [path]
-            for path in given
+            for path in paths
         )
     )
 
 
 def read_lines(files: Iterable[pathlib.Path]) -> Iterator[LogLine]:
-    """Yields the lines of log files; what is no JSON object is passed over."""
+    """Yields the parsed lines of log files, skipping all but JSON objects."""
     for file in files:
         try:
             texts = file.read_bytes().splitlines()
@@ -143,9 +145,10 @@
 def find_state_changes(
     lines: Iterable[LogLine], request_lines: list[LogLine]
 ) -> list[LogLine]:
-    """Returns the changes of belief that may have decided on a request.
+    """Returns state changes that may have influenced a request.
 
-    Those are of the processes on its way, from shortly before it to its end.
+    These are the changes in the processes that handled the request, from
+    shortly before its first line to its last.
     """
     involved = {line.process for line in request_lines}
     begin, end = request_lines[0].time_s - LOOKBACK_S, request_lines[-1].time_s
@@ -159,7 +162,7 @@
 
 
 def describe_end(request_lines: list[LogLine]) -> str:
-    """Returns in words why a request ended as it did."""
+    """Describes how a request ended and why."""
     last = next(
         (
             line
@@ -169,7 +172,9 @@
         None,
     )
     if last is None:
-        return "its process ended first; see its last lines and the next start"
+        return (
+            "its process ended first; see its last log lines and its next start"
+        )
     outcome = last.details.get("outcome", "refused")
     reason = last.details.get("reason")
     if reason is None:
--- a/ramptray/command/keys.py
+++ b/ramptray/command/keys.py
@@ -15,7 +15,7 @@
 
 @click.group(name="keys")
 def group() -> None:
-    """Makes operators' signing keys, and certificates for the programs."""
+    """Generates operators' signing keys, and certificates for mutual TLS."""
 
 
 @group.command(name="new")
@@ -43,10 +43,10 @@
 
 
 def read_key(file: pathlib.Path) -> str:
-    """Returns the private key in a file.
+    """Reads a private key from a file.
 
     Raises:
-        CommandError: There is none.
+        CommandError: The file cannot be read or holds no private key.
     """
     try:
         private = file.read_text().strip()
--- a/ramptray/command/losses.py
+++ b/ramptray/command/losses.py
@@ -1,4 +1,4 @@
-"""``ramptray losses``: why requests were not served in time, from logs."""
+"""``ramptray losses``: counts late and failed requests by cause, from logs."""
 
 from __future__ import annotations
 
@@ -17,15 +17,14 @@
 _PATH = click.Path(path_type=pathlib.Path)
 
 MAX_SHOWN_WINDOWS = 5
-"""Windows of time that are shown, those with the greatest loss."""
-
+"""Number of time windows shown, those with the greatest loss."""
 
 MAX_SHOWN_CAUSES = 3
-"""Reasons that are shown for a window, the heaviest first."""
+"""Number of causes shown for a window, in descending order of weight."""
 
 
 class Cause(enum.Enum):
-    """What became of a request."""
+    """How a request ended, and why it was late or lost."""
 
     IN_TIME = "in time"
     LATE_WAITING = "late, waited too long"
@@ -51,20 +50,20 @@
     "stream_broken": Cause.BACKEND_FAILED,
     "caller_gone": Cause.CALLER_DISCONNECTED,
 }
-"""Causes by the reason that an ``end`` line tells."""
+"""Causes by the reason in an ``end`` line."""
 
 
 class RequestOutcome(msgspec.Struct, frozen=True):
-    """What became of one request.
+    """The classified end of one request.
 
     Attributes:
-        received_s: When it was received, on its VM's clock.
-        tier: Its tier.
-        cause: What became of it.
-        weight: What it weighs.
+        asked_s: Time of receipt, in seconds of the receiving VM's clock.
+        tier: Tier of the request.
+        cause: How the request ended.
+        weight: Weight of the request, given by its tier.
     """
 
-    received_s: float
+    asked_s: float
     tier: str
     cause: Cause
     weight: float
@@ -83,7 +82,7 @@
     "weights",
     multiple=True,
     metavar="TIER=NUMBER",
-    help="What a request of a tier weighs; 1 where it is left out.",
+    help="Weight of a tier's requests; 1 by default.",
 )
 @click.option(
     "--window",
@@ -91,20 +90,20 @@
     default=2.0,
     show_default=True,
     type=click.FloatRange(min=0.1),
-    help="Length of the windows of time, in seconds.",
+    help="Length of a time window, in seconds.",
 )
 def command(
     logs: tuple[pathlib.Path, ...], weights: tuple[str, ...], window_s: float
 ) -> None:
-    """Shows for which reasons requests were lost or late, and when most.
+    """Shows why requests were lost or late, and the worst time windows.
 
-    Each try of a caller counts as one request.  The last line tells what part
-    of all weights was served in time.
+    Each attempt of a caller counts as one request.  The last line gives the
+    fraction of the total weight that was served in time.
     """
     lines = explain.read_lines(explain.list_files(logs))
     outcomes = classify_requests(lines, parse_weights(weights))
     if not outcomes:
-        raise CommandError("no line of these logs tells of a request")
+        raise CommandError("no line of these logs records a request")
     _show_causes(outcomes)
     _show_windows(outcomes, window_s)
     total = sum(outcome.weight for outcome in outcomes)
@@ -115,10 +114,10 @@
 
 
 def parse_weights(texts: Iterable[str]) -> dict[str, float]:
-    """Returns the weights by tier.
+    """Parses ``TIER=NUMBER`` arguments.
 
     Raises:
-        CommandError: A text is no weight.
+        CommandError: An argument is malformed.
     """
     weights = {}
     for text in texts:
@@ -135,7 +134,7 @@
 def classify_requests(
     lines: Iterable[explain.LogLine], weights: Mapping[str, float]
 ) -> list[RequestOutcome]:
-    """Returns what became of each request that the lines tell of."""
+    """Determines the outcome of each request found in the lines."""
     lines_by_request: dict[str, list[explain.LogLine]] = (
         collections.defaultdict(list)
     )
@@ -173,7 +172,7 @@
 def _find_delay_cause(
     received: explain.LogLine, request_lines: list[explain.LogLine]
 ) -> Cause:
-    """Returns whether a whole answer began in time, by what the owner knew."""
+    """Checks whether a complete answer started before its deadline."""
     first = _find_last(request_lines, "first_token")
     grants = [line for line in request_lines if line.kind == "grant"]
     if first is None or not grants:
@@ -184,7 +183,7 @@
         return Cause.IN_TIME
     if left_s < granted.details.get("expected_s", 0.0):
         return Cause.LATE_WAITING
-    # The owner's clock may differ from the VM's: only the VM's is used here.
+    # Uses only timestamps of the VM, as the owner's clock may differ.
     dispatched = _find_last(request_lines, "dispatch") or received
     if first.time_s - dispatched.time_s > left_s:
         return Cause.LATE_BACKEND
@@ -194,7 +193,7 @@
 def _find_last(
     request_lines: Iterable[explain.LogLine], kind: str
 ) -> explain.LogLine | None:
-    """Returns the last line of a kind."""
+    """Returns the latest line of a kind, or None."""
     return max(
         (line for line in request_lines if line.kind == kind),
         key=lambda line: line.time_s,
@@ -219,11 +218,11 @@
 
 
 def _show_windows(outcomes: list[RequestOutcome], window_s: float) -> None:
-    """Shows the windows of time in which most was lost, and why."""
-    begin = min(outcome.received_s for outcome in outcomes)
+    """Prints the time windows with the greatest loss and their causes."""
+    begin = min(outcome.asked_s for outcome in outcomes)
 
     def get_window(outcome: RequestOutcome) -> int:
-        return int((outcome.received_s - begin) // window_s)
+        return int((outcome.asked_s - begin) // window_s)
 
     ordered = sorted(outcomes, key=get_window)
     lost = {
--- a/ramptray/command/main.py
+++ b/ramptray/command/main.py
@@ -25,9 +25,9 @@
 @click.group(name="ramptray")
 @click.version_option(ramptray.__version__)
 def run_group() -> None:
-    """Declares and rolls out what ramptray works by, and shows what it does.
+    """Manages bundles and keys, and shows the state of a deployment.
 
-    Exit codes: 0 done, 1 not done, 2 a mistake in a file or argument.
+    Exit codes: 0 success, 1 failure, 2 an invalid file or argument.
     """
 
 
@@ -45,7 +45,7 @@
 
 
 def run() -> None:
-    """Runs the command; errors that a user can mend are shown as one line."""
+    """Runs the command and prints expected errors without a traceback."""
     process.configure_logging("ramptray", "ERROR")
     try:
         run_group()
--- a/ramptray/command/peers.py
+++ b/ramptray/command/peers.py
@@ -1,4 +1,4 @@
-"""Asks the schedulers of a deployment, wherever they are."""
+"""Discovers and queries the schedulers of a deployment."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 
 
 def read_settings(file: pathlib.Path) -> settings.OperatorSettings:
-    """Returns the operator's settings.
+    """Reads the operator's settings.
 
     Raises:
-        parsing.InvalidFileError: They have mistakes.
+        parsing.InvalidFileError: The settings are invalid.
     """
     return parsing.read_model(file, settings.OperatorSettings)
 
 
 class SchedulerClient:
-    """All schedulers that can be found from a few of them."""
+    """Queries schedulers, discovering all of them from a few addresses."""
 
     def __init__(
         self, schedulers: Iterable[str], client: peer_link.PeerClient
@@ -47,44 +47,48 @@
         self._client = client
 
     async def query_all(
-        self, question: Any, addresses: list[str]
+        self, request: Any, addresses: list[str]
     ) -> dict[str, Any]:
-        """Returns the answers of those that answered, by address."""
-        answers: dict[str, Any] = {}
+        """Sends a request to each address concurrently.
+
+        Returns the responses by address, without those that failed.
+        """
+        responses: dict[str, Any] = {}
 
         async def ask(address: str) -> None:
             with contextlib.suppress(peer_link.LinkError):
-                answers[address] = await self._client.ask(
-                    address, question, REQUEST_TIMEOUT_S
+                responses[address] = await self._client.ask(
+                    address, request, REQUEST_TIMEOUT_S
                 )
 
         async with anyio.create_task_group() as tasks:
             for address in addresses:
                 tasks.start_soon(ask, address)
-        return {a: answers[a] for a in addresses if a in answers}
+        return {a: responses[a] for a in addresses if a in responses}
 
     async def fetch_reports(self) -> dict[str, dict[str, Any]]:
-        """Returns every reachable scheduler's report, by VM.
+        """Returns the status report of every reachable scheduler, by VM.
 
-        Starts from the settings and goes on to whom the reports name.
+        Starts with the configured schedulers and follows the addresses of
+        live peers in their reports.
         """
         reports: dict[str, dict[str, Any]] = {}
-        asked: set[str] = set()
-        wanted = set(self._schedulers)
-        while wanted:
-            asked |= wanted
-            answers = await self.query_all(
-                peer_message.AskStatus(), sorted(wanted)
+        queried: set[str] = set()
+        pending = set(self._schedulers)
+        while pending:
+            queried |= pending
+            responses = await self.query_all(
+                peer_message.AskStatus(), sorted(pending)
             )
-            for answer in answers.values():
-                reports[answer.report["vm"]] = answer.report
-            named = {
+            for response in responses.values():
+                reports[response.report["vm"]] = response.report
+            advertised = {
                 peer["address"]
                 for report in reports.values()
                 for peer in (*report["members"], *report["others"])
                 if peer.get("state", "alive") == "alive"
             }
-            wanted = named - asked
+            pending = advertised - queried
         return dict(sorted(reports.items()))
 
 
@@ -92,7 +96,7 @@
 async def open_client_from_settings(
     operator_settings: settings.OperatorSettings,
 ) -> AsyncIterator[SchedulerClient]:
-    """Opens the channels to a deployment's schedulers."""
+    """Opens a client for the schedulers named in the settings."""
     async with open_client(
         operator_settings.schedulers, operator_settings.tls
     ) as client:
@@ -103,7 +107,7 @@
 async def open_client(
     schedulers: Iterable[str], tls: settings.TlsSettings | None = None
 ) -> AsyncIterator[SchedulerClient]:
-    """Opens the channels to schedulers that are known by their addresses."""
+    """Opens a client for schedulers at known addresses."""
     client = peer_link.PeerClient(clock.HybridClock(wallclock.read), tls)
     try:
         yield SchedulerClient(schedulers, client)
--- a/ramptray/command/rollout.py
+++ b/ramptray/command/rollout.py
@@ -1,4 +1,4 @@
-"""``ramptray rollout``: puts a signed bundle in force everywhere."""
+"""``ramptray rollout``: publishes a signed bundle and awaits its activation."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 _ADVICE = {
     acceptance.RolloutStatus.WRONG_BASE: (
         "another bundle is in force. Get it with `ramptray rollout "
-        "--show-in-force`, put your change on it with `ramptray bundle "
+        "--show-in-force`, rebase your change on it with `ramptray bundle "
         "rebase`, check, sign and roll out again"
     ),
     acceptance.RolloutStatus.BAD_SIGNATURE: (
@@ -31,7 +31,7 @@
     ),
     acceptance.RolloutStatus.INVALID: "run `ramptray bundle check`",
     acceptance.RolloutStatus.NO_HISTORY: (
-        "the log has forgotten which bundle it follows and holds no "
+        "the log no longer holds the bundle it is based on, nor a "
         "checkpoint; see docs/operators.md"
     ),
 }
@@ -44,7 +44,7 @@
     "--wait",
     "wait_s",
     default=30.0,
-    help="Seconds to wait for every live VM.",
+    help="Seconds to wait until every live VM applies it.",
 )
 @click.option(
     "--show-in-force",
@@ -63,7 +63,7 @@
         click.echo(anyio.run(_show_in_force, operator_settings))
         return
     if file is None:
-        raise click.UsageError("FILE is needed")
+        raise click.UsageError("FILE is required")
     envelope = bundle.read_envelope(file)
     checked = bundle.parse(file, envelope)
     if not envelope.signatures:
@@ -100,8 +100,8 @@
         offset = await log.append(bundle_record.STREAM, record)
     except log_client.PlatformError as error:
         raise CommandError(
-            f"the log gave no answer ({error}); the bundle may or may not "
-            "come into force. To roll the same file out again is harmless"
+            f"the log is unavailable ({error}); the bundle may or may not "
+            "come into force. It is safe to roll out the same file again"
         ) from error
     click.echo(f"appended at offset {offset}")
     await _check_status(log, operator_settings, envelope)
@@ -114,7 +114,7 @@
     operator_settings: settings.OperatorSettings,
     envelope: signature.Envelope,
 ) -> None:
-    """Reads the log as every scheduler does and says what it decided.
+    """Evaluates the log as every scheduler does and checks the result.
 
     Raises:
         CommandError: The bundle was not accepted.
@@ -156,7 +156,7 @@
             if not page.records or tracker.next_offset >= page.next_offset:
                 return tracker
     except log_client.PlatformError as error:
-        raise CommandError(f"the log gave no answer ({error})") from error
+        raise CommandError(f"the log is unavailable ({error})") from error
 
 
 async def _wait_until_in_force(
@@ -165,10 +165,10 @@
     wait_s: float,
     started_at: float,
 ) -> None:
-    """Waits until every live VM works by the generation.
+    """Waits until every live VM has applied the generation.
 
     Raises:
-        CommandError: Some do not in time.
+        CommandError: A VM has not applied it before the timeout.
     """
     in_force_after_s: dict[str, float] = {}
     shown_at = steadyclock.read()
@@ -202,6 +202,6 @@
 
 
 def get_applied_generation(report: dict[str, Any]) -> int:
-    """Returns the generation by which everything on a VM works."""
+    """Returns the lowest generation applied by any process on a VM."""
     attached = [process["generation"] for process in report["attached"]]
     return int(min([report["generation"], *attached]))
--- a/ramptray/command/status.py
+++ b/ramptray/command/status.py
@@ -1,4 +1,4 @@
-"""``ramptray status``: what the deployment does, on one screen."""
+"""``ramptray status``: shows the state of VMs, shards and backend servers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 @peers.SETTINGS_OPTION
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def command(settings_file: pathlib.Path, as_json: bool) -> None:
-    """Shows VMs, shards and backend servers."""
+    """Shows the state of VMs, shards and backend servers."""
     operator_settings = peers.read_settings(settings_file)
     reports = anyio.run(fetch_reports, operator_settings)
     if not reports:
@@ -32,7 +32,7 @@
 
 
 def iterate_lines(reports: dict[str, dict[str, Any]]) -> Iterator[str]:
-    """Yields the lines of the screen."""
+    """Formats the reports as tables."""
     yield (
         f"{'VM':<20}{'zone':<18}{'generation':<12}{'log':<6}{'log age':>8}"
         f"{'peers':>7}  lease"
@@ -76,20 +76,20 @@
 
 
 def _iterate_rollouts(reports: dict[str, dict[str, Any]]) -> Iterator[str]:
-    """Yields a line for each release that is rolled out, if there are any."""
-    found = [
+    """Yields a table of the releases being rolled out, if there are any."""
+    rollouts = [
         (vm, shard, shard["rollout"])
         for vm, shard in _iterate_owned_shards(reports)
         if shard.get("rollout")
     ]
-    if not found:
+    if not rollouts:
         return
     yield ""
     yield (
         f"{'release rolled out':<34}{'owner':<20}{'state':<13}"
         f"{'requests':>10}{'of':>8}{'answers':>9}{'failed':>8}  why"
     )
-    for vm, shard, progress in found:
+    for vm, shard, progress in rollouts:
         name = f"{shard['shard']} {progress['release']}"
         yield (
             f"{name:<34}{vm:<20}{progress['state']:<13}"
@@ -125,6 +125,6 @@
 async def fetch_reports(
     operator_settings: settings.OperatorSettings,
 ) -> dict[str, dict[str, Any]]:
-    """Returns every reachable scheduler's report, by VM."""
+    """Returns the status report of every reachable scheduler, by VM."""
     async with peers.open_client_from_settings(operator_settings) as client:
         return await client.fetch_reports()
--- a/ramptray/command/timeline.py
+++ b/ramptray/command/timeline.py
@@ -1,4 +1,4 @@
-"""``ramptray timeline``: events of all processes in one order."""
+"""``ramptray timeline``: events of all processes in causal order."""
 
 from __future__ import annotations
 
@@ -30,8 +30,10 @@
 )
 @click.option("--subject", default="", help="A request, server or bundle.")
 @click.option("--json", "as_json", is_flag=True, help="Print JSON lines.")
-@click.option("--html", "html_file", type=_PATH, help="Write a page instead.")
-@click.option("--live", is_flag=True, help="Go on until Ctrl-C.")
+@click.option(
+    "--html", "html_file", type=_PATH, help="Write an HTML page instead."
+)
+@click.option("--live", is_flag=True, help="Follow new events until Ctrl-C.")
 @click.option(
     "--logs",
     type=_PATH,
@@ -46,10 +48,10 @@
     live: bool,
     logs: tuple[pathlib.Path, ...],
 ) -> None:
-    """Shows what happened, over all processes.
+    """Shows the events of all processes.
 
-    Events are in the order of the processes' hybrid logical clocks: what
-    caused another event stands before it, whatever the VMs' clocks say.
+    Events are sorted by the processes' hybrid logical clocks, so that a cause
+    precedes its effects even if the clocks of the VMs differ.
     """
     if live:
         anyio.run(_follow, _read_settings(settings_file), subject)
@@ -75,22 +77,22 @@
 async def fetch_events(
     operator_settings: settings.OperatorSettings, after: int, subject: str
 ) -> list[dict[str, Any]]:
-    """Returns the events of all processes, in the order of their clocks."""
+    """Fetches the events of all processes, sorted by their clocks."""
     async with peers.open_client_from_settings(operator_settings) as client:
         reports = await client.fetch_reports()
-        answers = await client.query_all(
+        responses = await client.query_all(
             peer_message.AskTimeline(after, subject),
             [report["address"] for report in reports.values()],
         )
     return sort_events(
-        event for answer in answers.values() for event in answer.events
+        event for response in responses.values() for event in response.events
     )
 
 
 def read_logs(
     files: tuple[pathlib.Path, ...], subject: str
 ) -> Iterator[dict[str, Any]]:
-    """Yields the events in log files; other lines are passed over."""
+    """Yields the events in log files, skipping other lines."""
     for file in files:
         try:
             lines = file.read_bytes().splitlines()
@@ -106,12 +108,12 @@
 
 
 def sort_events(events: Any) -> list[dict[str, Any]]:
-    """Returns events in the order of their clocks."""
+    """Sorts events by clock, then by process."""
     return sorted(events, key=lambda e: (e["clock"], e["process"]))
 
 
 def format_event(event: dict[str, Any], first: int) -> str:
-    """Returns an event as a line."""
+    """Formats an event as a line, with the time relative to the first."""
     details = " ".join(
         f"{name}={value}"
         for name, value in event.items()
@@ -139,5 +141,5 @@
 
 def _read_settings(file: pathlib.Path | None) -> settings.OperatorSettings:
     if file is None:
-        raise click.UsageError("--settings or --logs is needed")
+        raise click.UsageError("either --settings or --logs is required")
     return peers.read_settings(file)
--- a/ramptray/command/timeline_page.py
+++ b/ramptray/command/timeline_page.py
@@ -1,4 +1,4 @@
-"""A time line as one self-contained HTML page, a lane for each process."""
+"""Renders a timeline as a self-contained HTML page, a lane per process."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from typing import Any
 
 LANE_HEIGHT = 26
-LEFT = 220
-WIDTH = 1400
-RADIUS = 4
+LABEL_WIDTH = 220
+PLOT_WIDTH = 1400
+MARKER_RADIUS = 4
 
 COLORS = {
     "request": "#4477aa",
@@ -28,7 +28,7 @@
     "bundle": "#0077bb",
     "membership": "#999999",
 }
-OTHER_COLOR = "#555555"
+DEFAULT_COLOR = "#555555"
 
 _PAGE = string.Template(
     """<!doctype html>
@@ -54,11 +54,11 @@
 
 
 def make_page(title: str, events: list[dict[str, Any]]) -> str:
-    """Returns the page.
+    """Renders events as an HTML page.
 
     Args:
-        title: Its heading.
-        events: Events in the order of their clocks.
+        title: Heading of the page.
+        events: Events, sorted by their clocks.
     """
     processes = sorted({event["process"] for event in events})
     first = events[0]["clock"] if events else 0
@@ -67,37 +67,40 @@
         title=html.escape(title),
         count=len(events),
         seconds=f"{span / 1e6:.3f}",
-        key="".join(_iterate_key(events)),
-        width=LEFT + WIDTH + 20,
+        key="".join(_iterate_legend(events)),
+        width=LABEL_WIDTH + PLOT_WIDTH + 20,
         height=LANE_HEIGHT * (len(processes) + 1),
         lanes="\n".join(_iterate_lanes(processes)),
         events="\n".join(
-            _draw(event, processes.index(event["process"]), first, span)
+            _format_event(event, processes.index(event["process"]), first, span)
             for event in events
         ),
     )
 
 
-def _iterate_key(events: list[dict[str, Any]]) -> Iterator[str]:
+def _iterate_legend(events: list[dict[str, Any]]) -> Iterator[str]:
     for kind in dict.fromkeys(event["kind"] for event in events):
-        color = COLORS.get(kind, OTHER_COLOR)
+        color = COLORS.get(kind, DEFAULT_COLOR)
         name = html.escape(kind)
         yield f'<span><i style="background:{color}"></i> {name}</span>'
 
 
 def _iterate_lanes(processes: list[str]) -> Iterator[str]:
-    for place, name in enumerate(processes):
-        y = LANE_HEIGHT * (place + 1)
+    for index, name in enumerate(processes):
+        y = LANE_HEIGHT * (index + 1)
+        end_x = LABEL_WIDTH + PLOT_WIDTH
         yield (
-            f'<line x1="{LEFT}" x2="{LEFT + WIDTH}" y1="{y}" y2="{y}" '
+            f'<line x1="{LABEL_WIDTH}" x2="{end_x}" y1="{y}" y2="{y}" '
             f'stroke="#ddd"/><text x="0" y="{y + 4}">{html.escape(name)}</text>'
         )
 
 
-def _draw(event: dict[str, Any], lane: int, first: int, span: int) -> str:
-    x = LEFT + (event["clock"] - first) / span * WIDTH
+def _format_event(
+    event: dict[str, Any], lane: int, first: int, span: int
+) -> str:
+    x = LABEL_WIDTH + (event["clock"] - first) / span * PLOT_WIDTH
     y = LANE_HEIGHT * (lane + 1)
-    color = COLORS.get(event["kind"], OTHER_COLOR)
+    color = COLORS.get(event["kind"], DEFAULT_COLOR)
     seconds = (event["clock"] - first) / 1e6
     details = " ".join(
         f"{name}={value}"
@@ -106,6 +109,6 @@
     )
     shown = html.escape(f"{seconds:.6f} s {details}")
     return (
-        f'<circle cx="{x:.1f}" cy="{y}" r="{RADIUS}" fill="{color}">'
+        f'<circle cx="{x:.1f}" cy="{y}" r="{MARKER_RADIUS}" fill="{color}">'
         f"<title>{shown}</title></circle>"
     )
--- a/ramptray/load/__init__.py
+++ b/ramptray/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool: seeded load with a report."""
+"""Load generator: sends seeded load and reports the results."""
--- a/ramptray/load/main.py
+++ b/ramptray/load/main.py
@@ -1,4 +1,4 @@
-"""``ramptray-load``: seeded load against running entries, with a report."""
+"""``ramptray-load``: sends seeded load to entries and reports results."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 async def run_load(
     settings: plan.LoadSettings, show: Callable[[str], None]
 ) -> list[sender.RequestResult]:
-    """Sends the whole schedule and returns what became of each request.
+    """Sends all scheduled requests and returns their results.
 
     Args:
-        settings: What to send, and where.
-        show: Shows a line of progress.
+        settings: Settings of the load.
+        show: Called with each line of progress.
     """
     schedule = plan.make_schedule(settings)
     results: list[sender.RequestResult] = []
@@ -62,7 +62,7 @@
 
 
 async def read_ledgers(urls: list[str]) -> list[dict[str, Any]]:
-    """Returns the ledgers of the engine stand-ins that can be reached."""
+    """Fetches the ledgers of all reachable engine stand-ins."""
     ledgers: list[dict[str, Any]] = []
     async with httpcore.AsyncConnectionPool() as pool:
         for url in urls:
@@ -77,7 +77,7 @@
 def write_record(
     path: pathlib.Path, results: list[sender.RequestResult]
 ) -> None:
-    """Writes each request's end as a JSON line."""
+    """Writes the result of each request as a JSON line."""
     with path.open("wb") as file:
         for result in results:
             fields = {**msgspec.to_builtins(result), "useful": result.useful}
@@ -92,21 +92,21 @@
     "settings_file",
     type=click.Path(path_type=pathlib.Path),
     required=True,
-    help="What to send, and where, in JSON with comments.",
+    help="Settings of the load, in JSON with comments.",
 )
 @click.option("--json", "as_json", is_flag=True, help="End with JSON.")
 @click.option(
     "--record",
     type=click.Path(path_type=pathlib.Path),
-    help="Write each request's end to this file as a JSON line.",
+    help="Write each request's result to this file as a JSON line.",
 )
 def run(
     settings_file: pathlib.Path, as_json: bool, record: pathlib.Path | None
 ) -> None:
-    """Sends seeded load to running entries and reports what callers got.
+    """Sends seeded load to running entries and reports the results.
 
-    Exit codes: 0 when all was sent, 1 if an answer was wrong, 2 for a mistake
-    in the settings or arguments.
+    Exit codes: 0 if all requests were sent, 1 if an answer was wrong, 2 if
+    the settings or arguments are invalid.
     """
     try:
         settings = parsing.read_model(settings_file, plan.LoadSettings)
--- a/ramptray/load/plan.py
+++ b/ramptray/load/plan.py
@@ -1,4 +1,4 @@
-"""What load is sent: settings and the seeded schedule of requests."""
+"""Settings of the load and the seeded schedule of requests."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 class Kind(enum.Enum):
-    """Which interface a class of requests uses."""
+    """The interface that a class of requests uses."""
 
     CHAT = "chat"
     PLAIN = "plain"
 
 
 class Burst(model.Model, frozen=True, kw_only=True):
-    """A time of higher rates.
+    """A period of higher request rates.
 
     Attributes:
-        at_s: Its beginning.
-        for_s: Its length.
-        factor: By how much all rates grow.
+        at_s: Start, in seconds after the start of the load.
+        for_s: Duration, in seconds.
+        factor: Factor by which all rates are multiplied.
     """
 
     at_s: model.NonNegativeFloat
@@ -38,23 +38,24 @@
 
 
 class LoadClass(model.Model, frozen=True, kw_only=True):
-    """A class of like requests.
+    """A class of similar requests.
 
     Attributes:
-        customer: The customer that sends them.
-        tier: The tier they ask for.
-        service: The service they go to.
-        kind: The interface they use.
-        rate_per_s: Requests a second.
-        prompt_tokens: Least and most; drawn evenly on a log scale.
-        shared_tokens: Tokens that prompts of one group begin with.
-        groups: How many such groups there are.
-        max_tokens: Least and most output tokens asked for.
-        deadline_s: Deadline sent along.
+        customer: The customer that sends the requests.
+        tier: The requested tier.
+        service: The service that is called.
+        kind: The interface that is used.
+        rate_per_s: Requests per second.
+        prompt_tokens: Minimum and maximum; drawn from a log-uniform
+            distribution.
+        shared_tokens: Length of the prefix shared by the prompts of a group.
+        groups: Number of groups with a shared prefix.
+        max_tokens: Minimum and maximum of the requested output tokens.
+        deadline_s: Deadline of each request, in seconds.
         repeatable: Whether requests carry no idempotency key.
         stream: Whether answers are streamed.
-        resends: How often a caller without a whole answer sends again, with
-            the same idempotency key.
+        resends: Maximum number of times a caller without a complete answer
+            resends a request, with the same idempotency key.
     """
 
     customer: model.Name
@@ -76,14 +77,14 @@
     """Settings of ``ramptray-load``.
 
     Attributes:
-        entries: Base URLs of the entries, used in turn.
+        entries: Base URLs of the entries, used in rotation.
         keys: Bearer key of each customer.
         engines: Base URLs of engine stand-ins whose ledgers are read.
-        seed: Seed of everything that is drawn.
-        duration_s: How long requests are sent.
-        classes: What is sent.
-        bursts: Times of higher rates.
-        log_level: Least level that is logged.
+        seed: Seed of the random generator.
+        duration_s: Time during which requests are sent, in seconds.
+        classes: Classes of requests to send.
+        bursts: Periods of higher request rates.
+        log_level: Minimum level that is logged.
     """
 
     entries: Annotated[list[model.Url], msgspec.Meta(min_length=1)]
@@ -97,15 +98,15 @@
 
 
 class ScheduledRequest(msgspec.Struct, frozen=True):
-    """One request to be sent.
+    """A request with its time of sending.
 
     Attributes:
-        at_s: When, from the beginning.
-        number: Its place in the schedule.
+        at_s: Time of sending, in seconds after the start of the load.
+        number: Position in the schedule.
         load_class: Its class.
         prompt: Its prompt, or the body of a call to a plain service.
-        max_tokens: Output tokens asked for.
-        key: Idempotency key, where it may not be repeated.
+        max_tokens: Requested output tokens.
+        key: Idempotency key; None for repeatable requests.
     """
 
     at_s: float
@@ -117,7 +118,10 @@
 
 
 def make_schedule(settings: LoadSettings) -> list[ScheduledRequest]:
-    """Returns the requests to send, in order; the seed alone decides."""
+    """Returns the requests to send, in order of time.
+
+    Equal settings give equal schedules, as only the seeded generator is used.
+    """
     rng = random.Random(settings.seed)
     requests = [
         _draw_request(load_class, at_s, rng)
@@ -134,7 +138,10 @@
 def _draw_times(
     load_class: LoadClass, settings: LoadSettings, rng: random.Random
 ) -> list[float]:
-    """Draws arrivals of a Poisson process whose rate rises in bursts."""
+    """Draws the arrivals of a Poisson process whose rate rises in bursts.
+
+    Arrivals are drawn at the highest rate and then thinned.
+    """
     highest = max([1.0, *(burst.factor for burst in settings.bursts)])
     times: list[float] = []
     at_s = rng.expovariate(load_class.rate_per_s * highest)
--- a/ramptray/load/report.py
+++ b/ramptray/load/report.py
@@ -1,4 +1,4 @@
-"""Sums up what became of the requests, by tier."""
+"""Summarizes the results of requests by tier."""
 
 from __future__ import annotations
 
@@ -11,27 +11,28 @@
 
 from ramptray.load import sender
 
-_HIGHEST_US = 600_000_000
+_MAX_DURATION_US = 600_000_000
 
 
 class TierReport(msgspec.Struct, frozen=True):
-    """What became of one tier's requests.
+    """Summary of the results of one tier's requests.
 
     Attributes:
         tier: The tier.
         sent: Requests sent.
-        complete: Whole answers.
-        useful: Whole answers within their deadline (goodput).
-        not_run: Refusals that say the request did not run.
-        unknown: Ends where the request may have run.
-        late: Requests whose caller hung up at its deadline.
-        broken: Requests whose entry went away.
-        wrong: Answers that were not the whole answer to their request.
+        complete: Complete answers.
+        useful: Complete, correct answers within their deadline (goodput).
+        not_run: Refusals that guarantee that the request did not run.
+        unknown: Failures after which the request may have run.
+        late: Requests cancelled by the caller at their deadline.
+        broken: Requests whose connection failed, or whose answer was cut off
+            or invalid.
+        wrong: Complete answers that differ from the expected one.
         useful_tokens: Output tokens of the useful answers.
         first_token_p50_s: Median time to the first token.
         first_token_p95_s: 95th percentile of it.
         gap_p95_s: 95th percentile of the time between tokens.
-        reasons: Why there was no whole answer.
+        reasons: Number of requests without a complete answer, by reason.
     """
 
     tier: str
@@ -64,7 +65,7 @@
 
 def get_percentile(values: Iterable[float], quantile: float) -> float | None:
     """Returns a percentile of durations in seconds, None for no values."""
-    found = histogram.HdrHistogram(1, _HIGHEST_US, 3)
+    found = histogram.HdrHistogram(1, _MAX_DURATION_US, 3)
     for value in values:
         found.record_value(max(1, int(value * 1e6)))
     if found.get_total_count() == 0:
@@ -85,7 +86,7 @@
 def summarize(
     reports: list[TierReport], ledgers: list[dict[str, Any]]
 ) -> dict[str, Any]:
-    """Returns everything as one JSON object."""
+    """Returns the reports and cache totals as one JSON object."""
     prefill = sum(ledger["prefill_tokens"] for ledger in ledgers)
     wasted = sum(ledger["wasted_prefill_tokens"] for ledger in ledgers)
     cached = sum(ledger["cached_tokens"] for ledger in ledgers)
--- a/ramptray/load/sender.py
+++ b/ramptray/load/sender.py
@@ -1,4 +1,4 @@
-"""Sends one request and judges its answer as a caller would."""
+"""Sends requests and checks their answers as a caller would."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from ramptray.standin.engine import batch, main
 
 READ_TIMEOUT_S = 120.0
-"""Longest silence of an answer, in seconds."""
+"""Maximum time between two reads of an answer, in seconds."""
 
 MAX_CONNECT_ATTEMPTS = 10
 CONNECT_RETRY_DELAY_S = 0.1
@@ -24,24 +24,24 @@
 
 
 class RequestResult(msgspec.Struct):
-    """What became of one request.
+    """Result of one request.
 
     Attributes:
-        number: Its place in the schedule.
+        number: Position in the schedule.
         tier: Its tier.
         customer: Its customer.
-        sent_at: When it was sent, in seconds from the beginning.
-        outcome: ``complete``, ``not_run``, ``unknown``, ``late`` where the
-            caller hung up at its deadline, or ``broken`` where the entry
-            itself went away.
-        reason: Why there is no whole answer.
-        whole: Whether the answer was whole and this request's own.
+        sent_at: Time of sending, in seconds after the start of the load.
+        outcome: ``complete``, ``not_run``, ``unknown``, ``late`` if the
+            caller cancelled at its deadline, or ``broken`` if the connection
+            to the entry failed or the answer was cut off or invalid.
+        reason: Why there is no complete answer.
+        whole: Whether the answer equals the expected one.
         status: HTTP status; 0 for none.
         key: Its idempotency key, if any.
-        request_id: The entry's name for it.
-        tokens: Output tokens that arrived.
+        request_id: Id given by the entry.
+        tokens: Output tokens received.
         first_token_s: Time to the first token.
-        total_s: Time to the end.
+        total_s: Time to the end, over all attempts.
         gaps: Times between tokens.
         entry: The entry's base URL.
         attempts: Request ids of all attempts, with their outcomes.
@@ -68,13 +68,13 @@
 
     @property
     def useful(self) -> bool:
-        """Whether the answer was whole and in time."""
+        """Whether the answer was complete, correct and in time."""
         in_time = self.total_s <= self.deadline_s
         return self.outcome == "complete" and self.whole and in_time
 
 
 class LoadSender:
-    """Sends requests to the entries, as the platform's balancer would."""
+    """Sends requests to the entries in rotation, as a load balancer would."""
 
     def __init__(self, settings: plan.LoadSettings) -> None:
         self._settings = settings
@@ -86,7 +86,7 @@
     async def send(
         self, request: plan.ScheduledRequest, sent_at: float
     ) -> RequestResult:
-        """Sends a request and returns what became of it."""
+        """Sends a request, and resends it if configured; returns the result."""
         result = RequestResult(
             request.number,
             request.load_class.tier,
@@ -228,7 +228,7 @@
 
 
 def is_expected_answer(text: str, request: plan.ScheduledRequest) -> bool:
-    """Returns whether a text is the whole answer to this very prompt."""
+    """Returns whether a text is the complete answer to the request's prompt."""
     prompt = main.render_prompt(_make_chat_body(request))
     tag = batch.tag_prompt(prompt)
     count = batch.draw_output_tokens(prompt, request.max_tokens)
--- a/test/test_explain.py
+++ b/test/test_explain.py
@@ -1,6 +1,6 @@
-"""From the id of a failed request to its cause, in logs of real processes.
+"""``ramptray explain`` finds the cause of a failure in logs of real processes.
 
-The commands are those of docs/OPERATIONS.md.
+The command is taken from docs/OPERATIONS.md.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def explain(folder: pathlib.Path, request_id: str) -> list[str]:
-    """Runs the page's command; returns the lines that it prints."""
+    """Runs the documented command and returns the lines of its output."""
     line = next(
         line
         for line in PAGE.read_text().splitlines()
@@ -35,7 +35,7 @@
 
 @pytest.fixture(scope="module")
 def logs(tmp_path_factory: pytest.TempPathFactory) -> Iterator[pathlib.Path]:
-    """Logs of a VM that refused a request, served one late, lost a third."""
+    """Logs of a VM with a refused, a late and an interrupted request."""
     folder = tmp_path_factory.mktemp("logs")
     with node.run_platform(replicas=1) as started:
         test_node.wait_until(
@@ -52,7 +52,7 @@
     yield folder
 
 
-def test_a_refusal_is_traced_to_its_customer_s_limit(
+def test_refusal_is_traced_to_customer_limit(
     logs: pathlib.Path,
 ) -> None:
     lines = explain(logs, "refused")
@@ -65,7 +65,7 @@
     assert "generation=1" in shed
 
 
-def test_a_late_answer_is_traced_to_its_backend_server(
+def test_late_answer_is_traced_to_backend_server(
     logs: pathlib.Path,
 ) -> None:
     lines = explain(logs, "late")
@@ -75,7 +75,7 @@
     assert any("dispatch" in line and "i-0" in line for line in lines)
 
 
-def test_a_cut_answer_is_traced_to_its_backend_server(
+def test_interrupted_answer_is_traced_to_backend_server(
     logs: pathlib.Path,
 ) -> None:
     lines = explain(logs, "cut")
@@ -83,7 +83,7 @@
     assert any("attempt_failed" in line and "i-0" in line for line in lines)
 
 
-def test_what_was_believed_stands_before_what_was_decided(
+def test_state_changes_are_listed_before_decisions(
     logs: pathlib.Path,
 ) -> None:
     lines = explain(logs, "first")
@@ -92,7 +92,7 @@
     assert all("node/vm-0" in line for line in lines[1:decided])
 
 
-def test_an_unknown_id_is_one_clear_error(logs: pathlib.Path) -> None:
+def test_unknown_request_id_is_reported(logs: pathlib.Path) -> None:
     words = ["explain", "nobody", "--logs", str(logs)]
     result = CliRunner().invoke(main.run_group, words)
     assert "nobody: no line of these logs names it" in str(result.exception)
--- a/test/test_guide.py
+++ b/test/test_guide.py
@@ -1,4 +1,4 @@
-"""Every command of the operators' guide, run in its order, with TLS."""
+"""Runs every command of the operators' guide in order, with TLS."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 GUIDE = pathlib.Path(__file__).parent.parent / "docs" / "operators.md"
 EDITOR = """#!/bin/sh
-# Stands in for the person who edits: the first time the bundle is filled in.
+# Replaces the interactive editor: fills in the bundle on the first call.
 if grep -q 127.0.0.1:8001 "$1"; then cp filled.json "$1"
 else sed -i 's/"share": 1.0/"share": 2.0/' "$1"; fi
 """
@@ -31,14 +31,14 @@
 
 
 def read_commands() -> list[str]:
-    """Returns the guide's commands."""
+    """Extracts the console commands from the guide."""
     blocks = re.findall(r"```console\n(.*?)```", GUIDE.read_text(), re.DOTALL)
     lines = [line for block in blocks for line in block.splitlines()]
     return [line.removeprefix("$ ") for line in lines]
 
 
 def run(command: str, folder: pathlib.Path) -> str:
-    """Runs one command as an operator would; fails with its output."""
+    """Runs a shell command and returns its output; fails on a non-zero exit."""
     scripts = pathlib.Path(sys.executable).parent
     done = subprocess.run(
         ["bash", "-c", command],
@@ -58,7 +58,7 @@
     return done.stdout
 
 
-def test_every_command_of_the_guide_works() -> None:
+def test_every_command_of_the_guide_succeeds() -> None:
     commands = read_commands()
     assert len(commands) > 12
     with tempfile.TemporaryDirectory(prefix="ramptray-") as name:
--- a/test/test_losses.py
+++ b/test/test_losses.py
@@ -1,4 +1,4 @@
-"""The table of why requests were lost, from logs."""
+"""Classification of late and lost requests by ``ramptray losses``."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def make_request(
     name: str, at_s: float, *steps: tuple[float, str, dict[str, Any]]
 ) -> list[explain.LogLine]:
-    """Returns a request's lines; the steps tell time, kind and details."""
+    """Returns a request's lines; a step gives its time, kind and details."""
     return [
         make_line(at_s, "request", name, tier="urgent"),
         *(
@@ -68,15 +68,15 @@
         ([end("key_expired")], "OTHER"),
     ],
 )
-def test_each_request_has_one_cause(
+def test_request_is_classified_by_cause(
     steps: list[tuple[float, str, dict[str, Any]]], cause: str
 ) -> None:
     (found,) = losses.classify_requests(make_request("r", 5.0, *steps), {})
     assert found.cause is losses.Cause[cause]
-    assert (found.received_s, found.tier, found.weight) == (5.0, "urgent", 1.0)
+    assert (found.asked_s, found.tier, found.weight) == (5.0, "urgent", 1.0)
 
 
-def test_the_table_weighs_tiers_and_tells_the_worst_moments(
+def test_table_weights_tiers_and_lists_worst_windows(
     tmp_path: pathlib.Path,
 ) -> None:
     lines = [
@@ -100,7 +100,7 @@
     assert "no place in time 2.5" in worst
 
 
-def test_a_mistake_in_a_weight_is_told_in_one_line(
+def test_malformed_weight_is_reported(
     tmp_path: pathlib.Path,
 ) -> None:
     words = ["losses", "--logs", str(tmp_path), "--weight", "urgent"]
@@ -108,14 +108,14 @@
     assert "--weight urgent: TIER=NUMBER wanted" in str(result.exception)
 
 
-def test_logs_without_requests_are_told_so(tmp_path: pathlib.Path) -> None:
+def test_logs_without_requests_are_reported(tmp_path: pathlib.Path) -> None:
     words = ["losses", "--logs", str(tmp_path)]
     result = CliRunner().invoke(main.run_group, words)
     assert "no line of these logs" in str(result.exception)
 
 
 def format_line(line: explain.LogLine) -> str:
-    """Returns a line as a program logs it."""
+    """Formats a line as the programs log it."""
     event = {
         "clock": int(line.time_s * 1e6),
         "process": line.process,
