--- a/ramptray/command/timeline.py
+++ b/ramptray/command/timeline.py
@@ -38,7 +38,7 @@
     "--logs",
     type=_PATH,
     multiple=True,
-    help="Read collected log files instead of asking processes.",
+    help="Read collected log files instead of querying processes.",
 )
 def command(
     settings_file: pathlib.Path | None,
--- a/ramptray/load/report.py
+++ b/ramptray/load/report.py
@@ -60,17 +60,20 @@
     )
     for result in results:
         by_tier[result.tier].append(result)
-    return [_summarize_tier(tier, found) for tier, found in by_tier.items()]
+    return [
+        _summarize_tier(tier, tier_results)
+        for tier, tier_results in by_tier.items()
+    ]
 
 
 def get_percentile(values: Iterable[float], quantile: float) -> float | None:
     """Returns a percentile of durations in seconds, None for no values."""
-    found = histogram.HdrHistogram(1, _MAX_DURATION_US, 3)
+    durations = histogram.HdrHistogram(1, _MAX_DURATION_US, 3)
     for value in values:
-        found.record_value(max(1, int(value * 1e6)))
-    if found.get_total_count() == 0:
+        durations.record_value(max(1, int(value * 1e6)))
+    if durations.get_total_count() == 0:
         return None
-    return round(float(found.get_value_at_percentile(quantile)) / 1e6, 4)
+    return round(float(durations.get_value_at_percentile(quantile)) / 1e6, 4)
 
 
 def format_table(reports: list[TierReport]) -> str:
@@ -103,7 +106,9 @@
     tier: str, results: list[sender.RequestResult]
 ) -> TierReport:
     outcomes = collections.Counter(result.outcome for result in results)
-    firsts = [h.first_token_s for h in results if h.first_token_s is not None]
+    first_token_times = [
+        h.first_token_s for h in results if h.first_token_s is not None
+    ]
     gaps = [gap for result in results for gap in result.gaps]
     useful = [result for result in results if result.useful]
     complete = [result for result in results if result.outcome == "complete"]
@@ -118,8 +123,8 @@
         broken=outcomes["broken"],
         wrong=sum(not result.whole for result in complete),
         useful_tokens=sum(result.tokens for result in useful),
-        first_token_p50_s=get_percentile(firsts, 50),
-        first_token_p95_s=get_percentile(firsts, 95),
+        first_token_p50_s=get_percentile(first_token_times, 50),
+        first_token_p95_s=get_percentile(first_token_times, 95),
         gap_p95_s=get_percentile(gaps, 95),
         reasons=dict(
             collections.Counter(
--- a/ramptray/load/sender.py
+++ b/ramptray/load/sender.py
@@ -180,28 +180,28 @@
 ) -> None:
     splitter = event.EventSplitter()
     text: list[str] = []
-    last = started_at
+    last_token_at = started_at
     async for data in response.aiter_stream():
-        for found in splitter.feed(data):
-            if found.is_end:
+        for parsed_event in splitter.feed(data):
+            if parsed_event.is_end:
                 result.outcome = "complete"
                 result.whole = is_expected_answer("".join(text), request)
                 return
-            chunk = msgspec.json.decode(found.data)
+            chunk = msgspec.json.decode(parsed_event.data)
             if "error" in chunk:
                 result.outcome = chunk["error"]["outcome"]
                 result.reason = chunk["error"]["reason"]
                 return
-            piece = chunk["choices"][0]["delta"].get("content")
-            if not piece:
+            token = chunk["choices"][0]["delta"].get("content")
+            if not token:
                 continue
             now = steadyclock.read()
             if result.first_token_s is None:
                 result.first_token_s = now - started_at
             else:
-                result.gaps.append(now - last)
-            last = now
-            text.append(piece)
+                result.gaps.append(now - last_token_at)
+            last_token_at = now
+            text.append(token)
             result.tokens += 1
     result.reason = "silent_end"
 
