--- a/ramptray/core/limit.py
+++ b/ramptray/core/limit.py
@@ -259,7 +259,7 @@
         self.server_part = 1.0
         self._buckets: dict[str, list[tuple[str, _TokenBucket]]] = {}
         self._former_buckets: dict[str, list[tuple[str, _TokenBucket]]] = {}
-        self._wanted_elsewhere: frozenset[str] = frozenset()
+        self._wanted_in_other_zones: frozenset[str] = frozenset()
 
     def set_rates(self, rates: dict[str, RateLimit]) -> None:
         """Applies the rates of the bundle in force if they have changed."""
@@ -324,18 +324,18 @@
             customer
             for customer in self._rates
             if uses.get(customer, 0.0) > 1.0
-            or customer in self._wanted_elsewhere
+            or customer in self._wanted_in_other_zones
         ]
         wanted.sort(key=lambda customer: -uses.get(customer, 0.0))
         return {c: round(uses.get(c, 0.0), 2) for c in wanted[:MAX_USES]}
 
-    def borrow(self, elsewhere: Iterable[dict[str, float]]) -> None:
+    def borrow(self, remote_uses: Iterable[dict[str, float]]) -> None:
         """Borrows what other zones do not use.
 
         Args:
-            elsewhere: The uses by customer of each zone with a recent summary.
+            remote_uses: The use by customer of each zone with a recent summary.
         """
-        fresh = list(elsewhere)
+        fresh = list(remote_uses)
         wanted: dict[str, int] = {}
         spare: dict[str, float] = {}
         for uses in fresh:
@@ -343,7 +343,7 @@
                 wanted[customer] = wanted.get(customer, 1) + (use > 1.0)
                 left = max(0.0, 1.0 - LENDING_MARGIN - use)
                 spare[customer] = spare.get(customer, 0.0) + left
-        self._wanted_elsewhere = frozenset(
+        self._wanted_in_other_zones = frozenset(
             customer
             for uses in fresh
             for customer, use in uses.items()
--- a/ramptray/core/membership.py
+++ b/ramptray/core/membership.py
@@ -107,7 +107,7 @@
 class _Record(msgspec.Struct):
     member: Member
     since: float
-    told: int = 0
+    sent_count: int = 0
 
 
 class Membership:
@@ -245,11 +245,11 @@
     def pick_updates(self) -> list[Member]:
         """Returns the updates to send next, least often sent ones first."""
         most = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self._records) + 1))
-        pending = [r for r in self._records.values() if r.told < most]
-        pending.sort(key=lambda record: record.told)
+        pending = [r for r in self._records.values() if r.sent_count < most]
+        pending.sort(key=lambda record: record.sent_count)
         chosen = pending[:MAX_UPDATES_PER_MESSAGE]
         for record in chosen:
-            record.told += 1
+            record.sent_count += 1
         return [record.member for record in chosen]
 
     def merge(self, updates: list[Member], now: float) -> None:
@@ -267,7 +267,7 @@
                 # The peer has an older record, so send the newer one again.
                 # A member that was suspended thus learns that it counts as
                 # dead.
-                record.told = 0
+                record.sent_count = 0
 
     def suspect(self, vm: str, now: float) -> None:
         """Marks a member that did not respond to a probe as suspected."""
@@ -337,12 +337,12 @@
     def _update_record(self, member: Member, now: float) -> None:
         record = self._records.get(member.vm)
         old = record.member if record else None
-        told = 0
+        sent_count = 0
         if record and not self._spreads_generations:
-            told = record.told * _differ_only_in_generation(
+            sent_count = record.sent_count * _differ_only_in_generation(
                 record.member, member
             )
-        self._records[member.vm] = _Record(member, now, told)
+        self._records[member.vm] = _Record(member, now, sent_count)
         self.digest ^= _hash_member(member) ^ (_hash_member(old) if old else 0)
         if old is None or (old.state, old.address) != (
             member.state,
