--- a/ramptray/core/anti_affinity.py
+++ b/ramptray/core/anti_affinity.py
@@ -24,7 +24,7 @@
 
     When a backend server crashes, all of its requests are retried at once.  If
     they were sent to the same server again, harmless and suspect requests would
-    be part of the next crash together and could not be told apart.
+    be part of the next crash together and could not be distinguished.
 
     Args:
         candidates: The backend servers that the request may be sent to.
--- a/ramptray/core/availability.py
+++ b/ramptray/core/availability.py
@@ -19,7 +19,8 @@
 """Weight of the newest response in a server's refusal rate."""
 
 REFUSAL_FORGET_S = 2.0
-"""Time constant of the refusal rate's decay, in seconds: a server that has
+"""Time constant of the refusal rate's decay, in seconds: about two
+thirds of the rate are forgotten after this time, so that a server that has
 recovered gets requests again within the time of a few responses."""
 
 LOST_AFTER_FAILURES = 4
--- a/ramptray/core/fleet.py
+++ b/ramptray/core/fleet.py
@@ -55,11 +55,9 @@
 
     @property
     def has_usable(self) -> bool:
-        """Whether any backend server is neither leaving nor lost."""
+        """Whether any server is worth waiting for: neither leaving nor lost."""
         return any(not known.is_lost for known in self.backends.values())
 
-    # Configuration and state of the backend servers.
-
     def configure(
         self, infos: Iterable[backends.BackendInfo], version: str
     ) -> None:
@@ -173,8 +171,6 @@
         hints = self._hints.get(info.name)
         return hints if hints and hints.run == info.run else None
 
-    # Candidates for a request.
-
     def list_all(self) -> list[backends.Backend]:
         """Returns every backend server."""
         return list(self.backends.values())
@@ -195,8 +191,6 @@
         )
         return [*(h for h in holders if h is not None), *window]
 
-    # Slots.
-
     def place(
         self,
         request: message.RequestInfo,
@@ -311,8 +305,6 @@
         self._pool.update(backend)
         return placed
 
-    # Entries.
-
     def list_requests_of_entry(self, entry: str) -> set[str]:
         """Returns the placed requests of an entry."""
         return {
--- a/ramptray/core/poison.py
+++ b/ramptray/core/poison.py
@@ -7,8 +7,8 @@
 - A poison request is present at each of its crashes.  Contents that were sent
   together share the same crashes, so the content that explains the most crashes
   is blocked first, and those crashes no longer count against other contents.
-- Servers that crash at the same group have an external cause, unless the same
-  content ran on each of them.
+- Servers that crash together, in one group, have an external cause, unless the
+  same content ran on each of them.
 - A poison request crashes the server soon after it starts.  A content that has
   been streaming its response for a while is cleared.
 """
@@ -24,7 +24,7 @@
 
 GROUP_GAP_S = 0.05
 """Largest gap between crashes of one group, in seconds.  VMs detect a crash
-within a few milliseconds, a loaded VM within some tens of them."""
+within a few milliseconds, a busy VM within about 10 ms."""
 
 MAX_GROUP_SPAN_S = 0.15
 """Longest span of a group of crashes, in seconds.  A poison request that is
@@ -66,7 +66,7 @@
 
 MIN_GROUPS_TIED = 5
 """Crash groups required to block several contents that share exactly the same
-crashes.  They can't be told apart any more, and one of them costs a backend
+crashes.  They can't be distinguished any more, and one of them costs a backend
 server each time."""
 
 
--- a/ramptray/core/request.py
+++ b/ramptray/core/request.py
@@ -1,9 +1,12 @@
 """The state machine of one request, held by the entry that serves its caller.
 
-It implements all guarantees to the caller.  Messages from schedulers may be
-late, duplicated or contradictory; still the request is dispatched at most once
-per attempt, and ``not_run`` is reported only in a state from which it can never
-be dispatched.
+It implements all guarantees to the caller.  Whatever messages schedulers send,
+late, duplicated or contradictory, they never cause a second dispatch: a request
+that has been dispatched or has ended ignores or declines further grants.  Only
+the entry itself lets it wait for another grant: if the request was not sent, if
+the backend server reports that it did not run, or if it may run more than once.
+``not_run`` is reported only in a state from which the request can never be
+dispatched.
 """
 
 from __future__ import annotations
--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -400,8 +400,6 @@
         effects = ticket.machine.decide_claim(held, finish)
         self._apply_effects(ticket, effects, now)
 
-    # Messages from schedulers.
-
     def _handle_message(self, address: str, body: object, now: float) -> None:
         self._owners.record_message(address, now)
         match body:
@@ -509,8 +507,6 @@
             report = peer_message.InForceReport(self.in_force.generation)
             self._send_any(address, report)
 
-    # Links to schedulers.
-
     def _send(self, owner: str, sent: message.EntryMessage) -> None:
         self._send_any(owner, sent)
 
--- a/ramptray/log/reader.py
+++ b/ramptray/log/reader.py
@@ -310,8 +310,6 @@
             for name, value in values.items()
         ]
 
-    # Reads.
-
     async def _read(self) -> PageT | None:
         """Returns the next records; None if the read was abandoned."""
         offset = self._end
@@ -361,8 +359,6 @@
             # By now all VMs whose read was not lost have these records too.
             self.on_advance()
 
-    # State of the log.
-
     def _abandon_read(self, reason: str) -> None:
         """Abandons the pending read; the next one polls without a wait."""
         self._poll_at_once = True
--- a/ramptray/peer/link.py
+++ b/ramptray/peer/link.py
@@ -397,8 +397,8 @@
 async def _translate_cancellation(address: str) -> AsyncIterator[None]:
     """Translates the cancellation of a call into a ``LinkError``.
 
-    grpc raises ``CancelledError`` whoever cancelled the call.  The task would
-    take it for its own cancellation and end silently.  If a scope was
+    grpc raises ``CancelledError`` no matter what cancelled the call.  The task
+    would take it for its own cancellation and end silently.  If a scope was
     cancelled, grpc's error differs from the scope's own: the scope would not
     recognise it, and the error would cancel the sibling tasks.
     """
--- a/ramptray/relay/backend_probe.py
+++ b/ramptray/relay/backend_probe.py
@@ -9,8 +9,8 @@
 
 CONNECT_TIMEOUT_S = 0.06
 """Longest time to open the probe connection, in seconds.  An address without a
-listener refuses within a round trip of a few milliseconds, or about ten on a
-slow VM."""
+listener refuses within a round trip of a few milliseconds, or about 10 ms on
+a slow VM."""
 
 CLOSE_WATCH_S = 0.02
 """How long the new connection is watched for a close, in seconds.  When a
--- a/ramptray/relay/content.py
+++ b/ramptray/relay/content.py
@@ -22,8 +22,8 @@
     Args:
         request: The request.
         customer: The customer whose key the caller holds.
-        key: Secret key of the deployment.  Without it nobody can find out from
-            a log line whether a request had a certain body.
+        key: Secret key of the deployment.  Without it, a log line does not
+            reveal whether a request had a certain body.
     """
     hasher = hashlib.blake2b(key=key, digest_size=DIGEST_BYTES)
     for part in (
--- a/ramptray/relay/server.py
+++ b/ramptray/relay/server.py
@@ -106,7 +106,7 @@
             )
             await connection.run()
         except (OSError, CallerDisconnectedError):
-            pass  # The caller has disconnected; there is nobody to respond to.
+            pass  # The caller has disconnected; no response is possible.
         except Exception:
             # A bug must end this connection only, not the others.
             LOG.exception("connection ended by an error")
--- a/ramptray/scheduler/distributor.py
+++ b/ramptray/scheduler/distributor.py
@@ -207,8 +207,6 @@
             else {"alone": True},
         )
 
-    # Serving updates.
-
     async def serve_updates(
         self, request: peer_message.FollowStreams
     ) -> peer_message.ToldStreams:
@@ -258,8 +256,6 @@
         """Returns the time of the oldest of the streams' known states."""
         return min(each.reader.fresh_at for each in self._streams.values())
 
-    # Receiving updates.
-
     def _start_following(self, tasks: anyio.abc.TaskGroup) -> None:
         """Sets the sources by this VM's position and follows new ones."""
         wanted = self._seeds[: distribution.MAX_SOURCES]
@@ -373,8 +369,6 @@
             )
         self._damaged_streams.add(stream)
 
-    # Reading the log.
-
     def _update_watching(self, now: float) -> None:
         watching = self._should_watch(now)
         for each in self._streams.values():
--- a/ramptray/scheduler/gossip.py
+++ b/ramptray/scheduler/gossip.py
@@ -33,7 +33,7 @@
 
 SUSPECT_PROBE_TIMEOUT_S = 0.25
 """Probe timeout for a member that may have failed, in seconds.  A round trip
-takes a few milliseconds, on a slow VM some tens of milliseconds."""
+takes a few milliseconds, on a slow VM about 10 ms."""
 
 MAX_PROBE_TIMEOUT_S = 1.5
 """Upper limit of the probe timeout, which grows when answers have been late, in
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -212,8 +212,6 @@
         ]
         self._timeline_queries.ask(request, sessions)
 
-    # Attached processes.
-
     def _handle_message(
         self, session: peer_link.Session, body: Any, now: float
     ) -> None:
@@ -415,8 +413,6 @@
             case message.Redirect(request_id, zone):
                 self.timeline.note("spill", request_id, zone=zone, **basis)
 
-    # Shards.
-
     def _get_shard(
         self, key: message.ShardKey, now: float
     ) -> shard.ShardOwner | None:
