--- a/test/test_attempts.py
+++ b/test/test_attempts.py
@@ -295,8 +295,8 @@
 
 
 def test_a_server_whose_answers_break_off_gets_no_work_for_a_while() -> None:
-    # Incident inc-a19c (hanbit-qlog): a replica that reset each connection
-    # always had free capacity and so got the next request at once.
+    # A replica that reset each connection always had free capacity and so got
+    # the next request at once.
     server = backend.Backend(backend.BackendInfo("b", 4, 10_000, 0))
     for number in range(availability.EJECT_AFTER_BREAKS):
         assert server.is_open(1.0)
--- a/test/test_gossip.py
+++ b/test/test_gossip.py
@@ -264,7 +264,8 @@
 
     anyio.run(run)
     # Each of the first probes may add a member; the same number of probes after
-    # them adds none.  Without the early end there would be thirty probes.
+    # them adds none.  Without the early end, the frequent probes would last for
+    # the first four seconds, and there would be thirty of them here.
     assert len(peers.probed) <= 2 * gossip.QUIET_PROBES_TO_JOIN
 
 
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -247,7 +247,7 @@
 
 
 def test_generations_spread_only_if_enabled() -> None:
-    # If generations spread, a new bundle changes the records of all members,
-    # and each member sends each of these updates 18 times.
+    # If generations spread, a new bundle changes the records of all 60 members,
+    # and each member sends the update of each of these 60 and its own 18 times.
     assert count_sent_updates(spreads_generations=True) == 61 * 18
     assert count_sent_updates(spreads_generations=False) == 0
--- a/test/test_prober.py
+++ b/test/test_prober.py
@@ -41,7 +41,7 @@
 
 def test_an_unreachable_zone_is_avoided_until_it_answers() -> None:
     # If a zone were tried again after a fixed backoff, the next requests would
-    # lose 0.12 s per zone of their objectives of 0.3 s (seen in cmp-flotta).
+    # lose 0.12 s per zone of their objectives of 0.3 s.
     backends = reachability.Reachability()
     zones = {"a1": "a", "a2": "a", "b1": "b"}
     backends.record_connect_failure("a1", "a", 10.0)
--- a/test/test_speed.py
+++ b/test/test_speed.py
@@ -97,8 +97,8 @@
 
 
 def test_a_request_is_not_granted_what_its_entry_cannot_reach() -> None:
-    # hanbit-qlog, inc-b14f: in a partitioned zone a request alternated between
-    # two unreachable backend servers until its caller gave up.
+    # In a partitioned zone a request alternated between two unreachable backend
+    # servers until its caller gave up.
     owner = make_owner(2)
     (again,) = decline(owner, ask(owner, "a"), 1.1, "b0")
     granted = again.message
--- a/test/test_totals.py
+++ b/test/test_totals.py
@@ -57,8 +57,7 @@
 
 def test_requests_within_the_total_are_admitted() -> None:
     # After a customer's limit was lowered below its demand, two thirds of what
-    # the total allowed were refused while slots were free (seen in cmp-flotta,
-    # quiet-1).
+    # the total allowed were refused while slots were free.
     rng = random.Random(1)
     limits = make_limits()
     send(limits, rng, 10_000, 0.0, 4.0)
@@ -105,7 +104,7 @@
 def test_restarts_of_all_vms_respect_the_total(seed: int) -> None:
     # All VMs were killed twice within a span while a customer sent many times
     # its usual load.  Each VM was briefly its own owner and started with some
-    # tokens (hanbit-qlog, trouble-3 seed 342363000745).
+    # tokens.
     rng = random.Random(seed)
     limits = make_limits()
     send(limits, rng, 1000, 0.0, 0.1)
--- a/test/test_waiting.py
+++ b/test/test_waiting.py
@@ -104,7 +104,7 @@
 
 def test_a_request_does_not_wait_for_a_server_its_entry_cannot_reach() -> None:
     # During a partition, requests waited for the fast engines on the other side
-    # while the slow one on theirs had free slots (seen in cmp-flotta, scale-1).
+    # while the slow one on theirs had free slots.
     owner = make_owner(fast=FAST, slow=SLOW)
     cut_off = msgspec.structs.replace(LONG, silent=("fast",))
     assert send(owner, cut_off) == ["slow"]
@@ -186,7 +186,7 @@
 
 def test_a_fixed_latency_is_not_mistaken_for_prefill_speed() -> None:
     # The estimated prefill speed of one engine varied between 2,000 and 988,000
-    # tokens a second within a day, as prompts differed in size (cmp-flotta).
+    # tokens a second within a day, as prompts differed in size.
     owner = make_owner(fast=FAST)
     engine = owner.fleet.backends["fast"]
     for number in range(40):
@@ -208,7 +208,7 @@
 def test_requests_of_a_lost_vm_do_not_make_an_engine_seem_slow() -> None:
     # After a VM lost power, the owner kept waiting for the first tokens of its
     # requests: 141 requests were queued while 33 of 90 slots were free, and the
-    # highest tier was refused (seen in cmp-flotta, scale-1).
+    # highest tier was refused.
     owner = make_owner(fast=FAST)
     owner.receive("lost", message.Enqueue(SHORT), 1.0)
     owner.detach_entry("lost", 1.5)
@@ -227,8 +227,7 @@
 
 
 def test_late_requests_are_refused_early_while_others_are_in_time() -> None:
-    # Refused requests had waited for three times their objective (seen in
-    # cmp-flotta, scale-1).
+    # Refused requests had waited for three times their objective.
     owner = make_owner(fast=FAST)
     fill(owner, "fast")
     late = msgspec.structs.replace(SHORT, request_id="late", objective_s=0.2)
