--- a/ramptray/command/explain.py
+++ b/ramptray/command/explain.py
@@ -1,4 +1,4 @@
-"""``ramptray explain``: what became of one request, from collected logs."""
+"""``ramptray explain``: traces one request through collected logs."""
 
 from __future__ import annotations
 
@@ -13,16 +13,18 @@
 
 from ramptray.command.error import CommandError
 
-AROUND_S = 5.0
-"""How long before a request changes of belief are shown, in seconds: a view
-that misled it is seldom older."""
+LOOKBACK_S = 5.0
+"""Age up to which state changes before a request are shown, in seconds.
 
-TIME = "%Y-%m-%d %H:%M:%S,%f"
-"""How log lines write the time of day, in UTC."""
+Stale state that misrouted a request is seldom older.
+"""
+
+TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
+"""Format of the timestamps of log lines, in UTC."""
 
 _PATH = click.Path(path_type=pathlib.Path)
-_FIXED = {"clock", "process", "zone", "kind", "subject"}
-_PLUMBING = {
+_EVENT_FIELDS = {"clock", "process", "zone", "kind", "subject"}
+_LOG_METADATA = {
     "time",
     "level",
     "name",
@@ -34,13 +36,13 @@
     "taskName",
 }
 
-_BELIEFS = {"membership", "bundle"}
-"""Kinds of events that tell of a belief, not of a request."""
+_STATE_KINDS = {"membership", "bundle"}
+"""Kinds of events that report a state change rather than a request."""
 
-VERDICTS: Mapping[str, str] = {
+REASON_TEXTS: Mapping[str, str] = {
     "customer_limit": "its customer was over its limit at the owner",
-    "overloaded": "no place at a backend server came free in time",
-    "deadline": "the time of the route or the caller was over",
+    "overloaded": "no slot at a backend server became free in time",
+    "deadline": "the deadline of the route or the caller passed",
     "no_backend": "the service had no backend server left",
     "not_ready": "the VM had no configuration, or knew no owner",
     "no_route": "the configuration in force had no such route",
@@ -51,18 +53,18 @@
     "stream_broken": "the answer broke off and could not be resumed",
     "caller_gone": "the caller closed first",
 }
-"""What each reason means, in words."""
+"""Explanation of each reason."""
 
 
-class Line(msgspec.Struct, frozen=True):
-    """One log line that may matter.
+class LogLine(msgspec.Struct, frozen=True):
+    """A parsed log line.
 
     Attributes:
-        time_s: When it was written, in seconds of the writer's clock.
-        process: The process that wrote it.
-        kind: The event's kind, or the log's message.
-        subject: The request or other thing it is about; empty for none.
-        details: Further facts.
+        time_s: Time of writing, in seconds of the writer's clock.
+        process: The process that wrote the line.
+        kind: Kind of the event, or the message of a plain log line.
+        subject: The request or other object concerned; empty for none.
+        details: Remaining fields.
     """
 
     time_s: float
@@ -71,14 +73,14 @@
     subject: str
     details: Mapping[str, Any]
 
-    def format(self, since_s: float) -> str:
-        """Returns the line as it is shown."""
+    def format(self, origin_s: float) -> str:
+        """Returns the line as text, with the time relative to an origin."""
         facts = " ".join(
             f"{name}={value}"
             for name, value in self.details.items()
             if value is not None
         )
-        after = f"{self.time_s - since_s:>+9.3f}"
+        after = f"{self.time_s - origin_s:>+9.3f}"
         return f"{after}  {self.process:<28}{self.kind}  {facts}".rstrip()
 
 
@@ -92,39 +94,39 @@
     help="Collected log files, or folders of them.",
 )
 def command(request_id: str, logs: tuple[pathlib.Path, ...]) -> None:
-    """Shows the way of one request, and what was believed at the time.
+    """Traces one request and the state that decisions were based on.
 
-    First comes what the VMs on its way had come to believe shortly before,
-    then each decision on the request, and last why it ended.
+    Shows the state changes on the VMs involved shortly before the request,
+    then each decision on it, and finally why it ended.
     """
     lines = sorted(read_lines(list_files(logs)), key=lambda line: line.time_s)
-    own = [line for line in lines if line.subject == request_id]
-    if not own:
+    request_lines = [line for line in lines if line.subject == request_id]
+    if not request_lines:
         raise CommandError(f"{request_id}: no line of these logs names it")
-    since = own[0].time_s
+    first_s = request_lines[0].time_s
     click.echo("believed before:")
-    for line in find_beliefs(lines, own):
-        click.echo(line.format(since))
+    for line in find_state_changes(lines, request_lines):
+        click.echo(line.format(first_s))
     click.echo("decided:")
-    for line in own:
-        click.echo(line.format(since))
-    click.echo(f"ended: {judge(own)}")
+    for line in request_lines:
+        click.echo(line.format(first_s))
+    click.echo(f"ended: {describe_end(request_lines)}")
 
 
-def list_files(given: Iterable[pathlib.Path]) -> list[pathlib.Path]:
-    """Returns files, and those of folders, in order."""
+def list_files(paths: Iterable[pathlib.Path]) -> list[pathlib.Path]:
+    """Expands folders to the files directly in them, sorted by name."""
     return list(
         itertools.chain.from_iterable(
             sorted(p for p in path.iterdir() if p.is_file())
             if path.is_dir()
             else [path]
-            for path in given
+            for path in paths
         )
     )
 
 
-def read_lines(files: Iterable[pathlib.Path]) -> Iterator[Line]:
-    """Yields the lines of log files; what is no JSON object is passed over."""
+def read_lines(files: Iterable[pathlib.Path]) -> Iterator[LogLine]:
+    """Yields the parsed lines of log files, skipping all but JSON objects."""
     for file in files:
         try:
             texts = file.read_bytes().splitlines()
@@ -140,13 +142,16 @@
                 yield line
 
 
-def find_beliefs(lines: Iterable[Line], own: list[Line]) -> list[Line]:
-    """Returns the changes of belief that may have decided on a request.
+def find_state_changes(
+    lines: Iterable[LogLine], request_lines: list[LogLine]
+) -> list[LogLine]:
+    """Returns state changes that may have influenced a request.
 
-    Those are of the processes on its way, from shortly before it to its end.
+    These are the changes in the processes that handled the request, from
+    shortly before its first line to its last.
     """
-    involved = {line.process for line in own}
-    begin, end = own[0].time_s - AROUND_S, own[-1].time_s
+    involved = {line.process for line in request_lines}
+    begin, end = request_lines[0].time_s - LOOKBACK_S, request_lines[-1].time_s
     return [
         line
         for line in lines
@@ -156,43 +161,53 @@
     ]
 
 
-def judge(own: list[Line]) -> str:
-    """Returns in words why a request ended as it did."""
+def describe_end(request_lines: list[LogLine]) -> str:
+    """Describes how a request ended and why."""
     last = next(
-        (line for line in reversed(own) if line.kind in ("end", "refused")),
+        (
+            line
+            for line in reversed(request_lines)
+            if line.kind in ("end", "refused")
+        ),
         None,
     )
     if last is None:
-        return "its process ended first; see its last lines and the next start"
+        return (
+            "its process ended first; see its last log lines and its next start"
+        )
     outcome = last.details.get("outcome", "refused")
     reason = last.details.get("reason")
     if reason is None:
         return str(outcome)
-    return f"{outcome}: {VERDICTS.get(reason, reason)} ({reason})"
+    return f"{outcome}: {REASON_TEXTS.get(reason, reason)} ({reason})"
 
 
-def _make_line(fields: dict[str, Any]) -> Line | None:
+def _make_line(fields: dict[str, Any]) -> LogLine | None:
     event = fields.get("event")
     if isinstance(event, dict) and "clock" in event:
         return _make_event(event)
     try:
-        written = datetime.datetime.strptime(str(fields.get("time")), TIME)
+        written = datetime.datetime.strptime(
+            str(fields.get("time")), TIME_FORMAT
+        )
     except ValueError:
         return None
-    return Line(
+    return LogLine(
         written.replace(tzinfo=datetime.UTC).timestamp(),
         str(fields.get("process", "")),
         str(fields.get("message", "")),
         "",
-        {k: v for k, v in fields.items() if k not in _PLUMBING},
+        {k: v for k, v in fields.items() if k not in _LOG_METADATA},
     )
 
 
-def _make_event(event: dict[str, Any]) -> Line:
-    return Line(
+def _make_event(event: dict[str, Any]) -> LogLine:
+    return LogLine(
         event["clock"] / 1e6,
         str(event.get("process", "")),
         str(event.get("kind", "")),
-        "" if event.get("kind") in _BELIEFS else str(event.get("subject", "")),
-        {k: v for k, v in event.items() if k not in _FIXED},
+        ""
+        if event.get("kind") in _STATE_KINDS
+        else str(event.get("subject", "")),
+        {k: v for k, v in event.items() if k not in _EVENT_FIELDS},
     )
