--- a/ramptray/load/report.py
+++ b/ramptray/load/report.py
@@ -1,4 +1,4 @@
-"""Sums up what became of the requests, by tier."""
+"""Summarizes the results of requests by tier."""
 
 from __future__ import annotations
 
@@ -11,27 +11,28 @@
 
 from ramptray.load import sender
 
-_HIGHEST_US = 600_000_000
+_MAX_DURATION_US = 600_000_000
 
 
 class TierReport(msgspec.Struct, frozen=True):
-    """What became of one tier's requests.
+    """Summary of the results of one tier's requests.
 
     Attributes:
         tier: The tier.
         sent: Requests sent.
-        complete: Whole answers.
-        useful: Whole answers within their deadline (goodput).
-        not_run: Refusals that say the request did not run.
-        unknown: Ends where the request may have run.
-        late: Requests whose caller hung up at its deadline.
-        broken: Requests whose entry went away.
-        wrong: Answers that were not the whole answer to their request.
+        complete: Complete answers.
+        useful: Complete, correct answers within their deadline (goodput).
+        not_run: Refusals that guarantee that the request did not run.
+        unknown: Failures after which the request may have run.
+        late: Requests cancelled by the caller at their deadline.
+        broken: Requests whose connection failed, or whose answer was cut off
+            or invalid.
+        wrong: Complete answers that differ from the expected one.
         useful_tokens: Output tokens of the useful answers.
         first_token_p50_s: Median time to the first token.
         first_token_p95_s: 95th percentile of it.
         gap_p95_s: 95th percentile of the time between tokens.
-        reasons: Why there was no whole answer.
+        reasons: Number of requests without a complete answer, by reason.
     """
 
     tier: str
@@ -59,17 +60,20 @@
     )
     for result in results:
         by_tier[result.tier].append(result)
-    return [_summarize_tier(tier, found) for tier, found in by_tier.items()]
+    return [
+        _summarize_tier(tier, tier_results)
+        for tier, tier_results in by_tier.items()
+    ]
 
 
 def get_percentile(values: Iterable[float], quantile: float) -> float | None:
     """Returns a percentile of durations in seconds, None for no values."""
-    found = histogram.HdrHistogram(1, _HIGHEST_US, 3)
+    durations = histogram.HdrHistogram(1, _MAX_DURATION_US, 3)
     for value in values:
-        found.record_value(max(1, int(value * 1e6)))
-    if found.get_total_count() == 0:
+        durations.record_value(max(1, int(value * 1e6)))
+    if durations.get_total_count() == 0:
         return None
-    return round(float(found.get_value_at_percentile(quantile)) / 1e6, 4)
+    return round(float(durations.get_value_at_percentile(quantile)) / 1e6, 4)
 
 
 def format_table(reports: list[TierReport]) -> str:
@@ -85,7 +89,7 @@
 def summarize(
     reports: list[TierReport], ledgers: list[dict[str, Any]]
 ) -> dict[str, Any]:
-    """Returns everything as one JSON object."""
+    """Returns the reports and cache totals as one JSON object."""
     prefill = sum(ledger["prefill_tokens"] for ledger in ledgers)
     wasted = sum(ledger["wasted_prefill_tokens"] for ledger in ledgers)
     cached = sum(ledger["cached_tokens"] for ledger in ledgers)
@@ -102,7 +106,9 @@
     tier: str, results: list[sender.RequestResult]
 ) -> TierReport:
     outcomes = collections.Counter(result.outcome for result in results)
-    firsts = [h.first_token_s for h in results if h.first_token_s is not None]
+    first_token_times = [
+        h.first_token_s for h in results if h.first_token_s is not None
+    ]
     gaps = [gap for result in results for gap in result.gaps]
     useful = [result for result in results if result.useful]
     complete = [result for result in results if result.outcome == "complete"]
@@ -117,8 +123,8 @@
         broken=outcomes["broken"],
         wrong=sum(not result.whole for result in complete),
         useful_tokens=sum(result.tokens for result in useful),
-        first_token_p50_s=get_percentile(firsts, 50),
-        first_token_p95_s=get_percentile(firsts, 95),
+        first_token_p50_s=get_percentile(first_token_times, 50),
+        first_token_p95_s=get_percentile(first_token_times, 95),
         gap_p95_s=get_percentile(gaps, 95),
         reasons=dict(
             collections.Counter(
