--- a/ramptray/standin/replica/main.py
+++ b/ramptray/standin/replica/main.py
@@ -21,10 +21,10 @@
 READ_BYTES = 65536
 STREAM_TYPE = b"text/event-stream"
 
-CRASH_S = 0.08
+CRASH_DELAY_S = 0.08
 """How long a request that ends this program runs before, in seconds."""
 
-CRASH_STATUS = 70
+CRASH_EXIT_STATUS = 70
 
 
 class FakeReplicaSettings(model.Model, frozen=True, kw_only=True):
@@ -110,7 +110,9 @@
         """Serves one connection until it ends."""
         async with stream:
             try:
-                while await self._serve_one(stream, h11.Connection(h11.SERVER)):
+                while await self._serve_request(
+                    stream, h11.Connection(h11.SERVER)
+                ):
                     pass
             except (
                 anyio.BrokenResourceError,
@@ -119,7 +121,7 @@
             ) as error:
                 LOG.info("connection ended: %r", error)
 
-    async def _serve_one(
+    async def _serve_request(
         self, stream: anyio.abc.SocketStream, http: h11.Connection
     ) -> bool:
         request = None
@@ -147,15 +149,15 @@
         path = request.target.decode()
         if path == "/faults":
             self._faults = msgspec.json.decode(body, type=Faults)
-            await _send(stream, 200, b"", [])
+            await _send_response(stream, 200, b"", [])
             return True
         if path == "/ledger":
             seen = json.dumps(msgspec.to_builtins(self._ledger)).encode()
-            await _send(stream, 200, seen, [])
+            await _send_response(stream, 200, seen, [])
             return True
-        return await self._answer(stream, http, path, headers, body)
+        return await self._respond(stream, http, path, headers, body)
 
-    async def _answer(
+    async def _respond(
         self,
         stream: anyio.abc.SocketStream,
         http: h11.Connection,
@@ -170,9 +172,9 @@
             (header.SERVER_LIMIT, value.encode()) for value in faults.limits
         ]
         own += [(header.SERVER_LEAVING, b"1")] if faults.leaving else []
-        self._note_arrival(request_id)
+        self._record_arrival(request_id)
         if headers.get(header.EXPECTED_BACKEND.decode()) != self._settings.name:
-            await _send(stream, 421, b"", own)
+            await _send_response(stream, 421, b"", own)
             return True
         if (
             faults.refuse
@@ -182,7 +184,9 @@
                 (header.RETRY_AFTER, value.encode()) for value in faults.pauses
             ]
             self._ledger.refused.append(request_id)
-            await _send(stream, 503, b"", [*own, (header.NOT_EXECUTED, b"1")])
+            await _send_response(
+                stream, 503, b"", [*own, (header.NOT_EXECUTED, b"1")]
+            )
             now = steadyclock.read_monotonic()
             LOG.info(
                 "refused",
@@ -208,7 +212,7 @@
         if path.startswith("/stream"):
             return await self._stream(stream, http, headers, signed)
         try:
-            await self._work(stream, request_id)
+            await self._simulate_work(stream, request_id)
         except anyio.EndOfStream:
             return False
         if faults.surplus:
@@ -216,25 +220,27 @@
                 (header.REQUEST_ID, b"other"),
                 (header.SIGNATURE, b"other"),
             ]
-            await stream.send(_format(200, b"surplus", other))
+            await stream.send(_format_response(200, b"surplus", other))
         answer = json.dumps({"path": path, "bytes": len(body)}).encode()
         if faults.unframed:
-            await stream.send(_format(200, answer, signed, framed=False))
+            await stream.send(
+                _format_response(200, answer, signed, framed=False)
+            )
             return False
         status = 500 if faults.fail else 200
-        await _send(stream, status, answer, signed)
+        await _send_response(stream, status, answer, signed)
         return True
 
-    def _note_arrival(self, request_id: str) -> None:
+    def _record_arrival(self, request_id: str) -> None:
         now = steadyclock.read_monotonic()
         self._ledger.arrived.append(now)
         LOG.info("arrived", extra={"request_id": request_id, "at": now})
 
     async def _crash(self, request_id: str) -> None:
         """Ends this program with all that runs in it."""
-        await anyio.sleep(CRASH_S)
+        await anyio.sleep(CRASH_DELAY_S)
         LOG.error("crashed", extra={"request_id": request_id})
-        os._exit(CRASH_STATUS)
+        os._exit(CRASH_EXIT_STATUS)
 
     async def _stream(
         self,
@@ -255,7 +261,9 @@
         begin = int(headers.get(header.LAST_EVENT.decode(), "0"))
         for number in range(begin + 1, self._settings.events + 1):
             try:
-                await self._work(stream, headers[header.REQUEST_ID.decode()])
+                await self._simulate_work(
+                    stream, headers[header.REQUEST_ID.decode()]
+                )
             except anyio.EndOfStream:
                 return False
             if self._faults.hang_after == number - 1:
@@ -269,7 +277,7 @@
         http.start_next_cycle()
         return True
 
-    async def _work(
+    async def _simulate_work(
         self, stream: anyio.abc.SocketStream, request_id: str
     ) -> None:
         """Works for a while; notes it if the caller goes meanwhile."""
@@ -284,16 +292,16 @@
                 raise anyio.EndOfStream from error
 
 
-async def _send(
+async def _send_response(
     stream: anyio.abc.SocketStream,
     status: int,
     body: bytes,
     headers: list[tuple[bytes, bytes]],
 ) -> None:
-    await stream.send(_format(status, body, headers))
+    await stream.send(_format_response(status, body, headers))
 
 
-def _format(
+def _format_response(
     status: int,
     body: bytes,
     headers: list[tuple[bytes, bytes]],
@@ -311,9 +319,9 @@
     """Serves until a stop is asked for."""
     replica = Replica(settings)
     host, port = split_address(settings.listen)
-    opened = await anyio.create_tcp_listener(local_host=host, local_port=port)
+    listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(opened.serve, replica.handle)
+        tasks.start_soon(listener.serve, replica.handle)
         await stop.event.wait()
         tasks.cancel_scope.cancel()
 
--- a/ramptray/standin/store/main.py
+++ b/ramptray/standin/store/main.py
@@ -17,7 +17,7 @@
 OK = 200
 PRECONDITION_FAILED = 412
 GONE = 410
-BUSY = 503
+SERVICE_UNAVAILABLE = 503
 
 
 class FakeStoreSettings(model.Model, frozen=True, kw_only=True):
@@ -47,7 +47,7 @@
     forgotten: model.Count = 0
 
 
-class Loss(model.Model, frozen=True, kw_only=True):
+class Rollback(model.Model, frozen=True, kw_only=True):
     """What a store that comes back from an older copy has lost.
 
     Attributes:
@@ -64,7 +64,7 @@
         self.records: list[tuple[str, bytes]] = []
         self.changed = anyio.Event()
 
-    def lose(self, count: int) -> None:
+    def drop_newest(self, count: int) -> None:
         """Drops the newest records; their offsets are given out again."""
         del self.records[max(0, len(self.records) - count) :]
         self.changed.set()
@@ -93,7 +93,7 @@
         self._faults = Faults()
         self._topics: dict[str, Topic] = collections.defaultdict(Topic)
         self._calls = 0
-        self._era = 1
+        self._generation = 1
 
     def make_app(self) -> applications.Starlette:
         """Returns the HTTP application."""
@@ -105,8 +105,8 @@
                     store.APPEND_PATH, self._append, methods=["POST"]
                 ),
                 routing.Route("/faults", self._set_faults, methods=["PUT"]),
-                routing.Route("/loss", self._lose, methods=["PUT"]),
-                routing.Route("/ledger", self._show_ledger),
+                routing.Route("/loss", self._roll_back, methods=["PUT"]),
+                routing.Route("/ledger", self._show_call_count),
                 routing.Route(
                     "/records/{topic}/{key:path}", self._put, methods=["PUT"]
                 ),
@@ -120,7 +120,7 @@
 
     async def _append(self, http: requests.Request) -> responses.Response:
         self._calls += 1
-        if refused := await self._turn_away(http):
+        if refused := await self._apply_faults(http):
             return refused
         topic = self._topics[http.query_params["topic"]]
         body = await http.body()
@@ -135,27 +135,29 @@
             key_end = 1 + record[0]
             topic.append(record[1:key_end].decode(), record[key_end:])
         told = {"offset": offset, "end": len(topic.records)}
-        return self._answer(msgspec.json.encode(told))
+        return self._make_response(msgspec.json.encode(told))
 
-    async def _lose(self, http: requests.Request) -> responses.Response:
+    async def _roll_back(self, http: requests.Request) -> responses.Response:
         """Comes back from a copy that lacks the newest records."""
-        loss = msgspec.json.decode(await http.body(), type=Loss)
-        self._era += 1
+        loss = msgspec.json.decode(await http.body(), type=Rollback)
+        self._generation += 1
         for topic in self._topics.values():
-            topic.lose(loss.records)
+            topic.drop_newest(loss.records)
         return responses.Response(status_code=OK)
 
     async def _set_faults(self, http: requests.Request) -> responses.Response:
         self._faults = msgspec.json.decode(await http.body(), type=Faults)
         return responses.Response(status_code=OK)
 
-    async def _show_ledger(self, http: requests.Request) -> responses.Response:
+    async def _show_call_count(
+        self, http: requests.Request
+    ) -> responses.Response:
         """Returns how many calls VMs have made."""
         return responses.JSONResponse({"calls": self._calls})
 
     async def _read_newest(self, http: requests.Request) -> responses.Response:
         self._calls += 1
-        if refused := await self._turn_away(http):
+        if refused := await self._apply_faults(http):
             return refused
         topic = self._topics[http.query_params["topic"]]
         newest = page.NewestPage(
@@ -165,21 +167,25 @@
             ],
             len(topic.records),
         )
-        return self._answer(page.encode_newest(newest))
+        return self._make_response(page.encode_newest(newest))
 
-    async def _turn_away(
+    async def _apply_faults(
         self, http: requests.Request
     ) -> responses.Response | None:
         """Returns the answer to a call that is turned away, if this one is."""
         if self._faults.silent:
-            await _wait_until_gone(http)
-        return self._answer(status=BUSY) if self._faults.busy else None
+            await _wait_for_disconnect(http)
+        return (
+            self._make_response(status=SERVICE_UNAVAILABLE)
+            if self._faults.busy
+            else None
+        )
 
-    def _answer(
+    def _make_response(
         self, body: bytes = b"", status: int = OK
     ) -> responses.Response:
         """Returns an answer that names the copy the store speaks from."""
-        named = {store.GENERATION_HEADER: str(self._era)}
+        named = {store.GENERATION_HEADER: str(self._generation)}
         return responses.Response(body, status, named)
 
     async def _read(self, http: requests.Request) -> responses.Response:
@@ -188,15 +194,15 @@
         offset = int(http.query_params["from"])
         wait_s = int(http.query_params.get(store.WAIT_PARAMETER, "0")) / 1000
         if self._faults.silent:
-            await _wait_until_gone(http)
-        era = self._era
+            await _wait_for_disconnect(http)
+        generation = self._generation
         if len(topic.records) == offset and not self._faults.busy:
             with anyio.move_on_after(wait_s):
                 await topic.changed.wait()
-        if self._faults.busy or era != self._era:
-            return self._answer(status=BUSY)
+        if self._faults.busy or generation != self._generation:
+            return self._make_response(status=SERVICE_UNAVAILABLE)
         if not self._faults.forgotten <= offset <= len(topic.records):
-            return self._answer(status=GONE)
+            return self._make_response(status=GONE)
         records = [
             bytes([len(key)]) + key.encode() + value
             for key, value in topic.records[offset:]
@@ -205,10 +211,10 @@
         body = b"".join(
             page.RECORD_LENGTH.pack(len(record)) + record for record in records
         )
-        return self._answer(head + body)
+        return self._make_response(head + body)
 
 
-async def _wait_until_gone(http: requests.Request) -> None:
+async def _wait_for_disconnect(http: requests.Request) -> None:
     """Leaves a call without an answer; its connection stays open."""
     message = await http.receive()
     while message["type"] != "http.disconnect":
