--- a/ramptray/standin/replica/__init__.py
+++ b/ramptray/standin/replica/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in of the users' replicas, with the faults they may have."""
+"""Stand-in of the users' replicas, with injectable faults."""
--- a/ramptray/standin/replica/main.py
+++ b/ramptray/standin/replica/main.py
@@ -1,4 +1,4 @@
-"""``ramptray-fake-replica``: a replica that answers, fails, cuts and counts."""
+"""``ramptray-fake-replica``: serves requests, injects faults and counts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 STREAM_TYPE = b"text/event-stream"
 
 CRASH_DELAY_S = 0.08
-"""How long a request that ends this program runs before, in seconds."""
+"""Seconds for which a poison request runs before it crashes this program."""
 
 CRASH_EXIT_STATUS = 70
 
@@ -31,13 +31,13 @@
     """Settings of the replica stand-in.
 
     Attributes:
-        name: Its id.
+        name: Id of the replica.
         listen: IP number and port.
-        work_s: How long an answer, or the pause between two events, takes.
-        events: Events of a stream.
-        crash_on: Part of a body that ends this program soon after it has begun
-            to run the request; empty for none.
-        log_level: Least level that is logged.
+        work_s: Seconds before a response, or between two events of a stream.
+        events: Number of events in a stream.
+        crash_on: Text in a request's body that makes this program crash soon
+            after it has started to run the request; empty for none.
+        log_level: Lowest level that is logged.
     """
 
     name: model.Name
@@ -49,21 +49,22 @@
 
 
 class Faults(model.Model, frozen=True, kw_only=True):
-    """Faults that a test sets.
+    """Faults that a test injects.
 
     Attributes:
-        refuse: Answer that the request has not run.
-        refuse_each: Of how many requests one is answered so, if any is.
-        pauses: Values of the header of such an answer that asks for a pause,
-            one header for each.
-        leaving: Say in each answer that it is leaving.
-        fail: Answer with a failure of its own.
-        cut_after: Events after which streams are cut in the middle of one.
-        hang_after: Events after which streams say nothing more.
-        surplus: Send an answer to another request before each answer.
-        unframed: Answer without a length and close.
-        work_s: How long an answer, or a pause, takes from now on.
-        limits: Values of the request limit header, one header for each.
+        refuse: Refuse requests with status 503, marked as not executed.
+        refuse_each: With ``refuse``, refuse only one of this many requests.
+        pauses: Values of the Retry-After header of a refusal, one header for
+            each value.
+        leaving: Announce in each response that the replica is leaving.
+        fail: Respond with status 500.
+        cut_after: Number of events after which a stream's connection is closed
+            in the middle of the next event.
+        hang_after: Number of events after which a stream sends nothing more.
+        surplus: Send a response for another request before each response.
+        unframed: Respond without a content length, then close the connection.
+        work_s: Overrides the setting of the same name, if given.
+        limits: Values of the server limit header, one header for each value.
     """
 
     refuse: bool = False
@@ -80,15 +81,15 @@
 
 
 class Ledger(msgspec.Struct):
-    """What the replica has seen.
+    """Requests that the replica has received.
 
     Attributes:
         runs: Ids of the requests that it ran, in order.
-        heads: Headers of each, in lower case.
+        heads: Headers of each request in ``runs``, names in lower case.
         gone: Ids of the requests whose connection closed while they ran.
-        refused: Ids of the requests that it turned away.
-        arrived: When each request arrived, run or not, on the machine's
-            clock in seconds.
+        refused: Ids of the requests that it refused.
+        arrived: Arrival time of each request, executed or not, in seconds of
+            the machine's monotonic clock.
     """
 
     runs: list[str] = msgspec.field(default_factory=list)
@@ -99,7 +100,7 @@
 
 
 class Replica:
-    """Serves connections, with one request at a time on each."""
+    """Serves connections, one request at a time on each."""
 
     def __init__(self, settings: FakeReplicaSettings) -> None:
         self._settings = settings
@@ -152,8 +153,8 @@
             await _send_response(stream, 200, b"", [])
             return True
         if path == "/ledger":
-            seen = json.dumps(msgspec.to_builtins(self._ledger)).encode()
-            await _send_response(stream, 200, seen, [])
+            ledger = json.dumps(msgspec.to_builtins(self._ledger)).encode()
+            await _send_response(stream, 200, ledger, [])
             return True
         return await self._respond(stream, http, path, headers, body)
 
@@ -167,25 +168,30 @@
     ) -> bool:
         faults = self._faults
         request_id = headers[header.REQUEST_ID.decode()]
-        own = [(header.REQUEST_ID, request_id.encode())]
-        own += [
+        response_headers = [(header.REQUEST_ID, request_id.encode())]
+        response_headers += [
             (header.SERVER_LIMIT, value.encode()) for value in faults.limits
         ]
-        own += [(header.SERVER_LEAVING, b"1")] if faults.leaving else []
+        response_headers += (
+            [(header.SERVER_LEAVING, b"1")] if faults.leaving else []
+        )
         self._record_arrival(request_id)
         if headers.get(header.EXPECTED_BACKEND.decode()) != self._settings.name:
-            await _send_response(stream, 421, b"", own)
+            await _send_response(stream, 421, b"", response_headers)
             return True
         if (
             faults.refuse
             and len(self._ledger.arrived) % faults.refuse_each == 0
         ):
-            own += [
+            response_headers += [
                 (header.RETRY_AFTER, value.encode()) for value in faults.pauses
             ]
             self._ledger.refused.append(request_id)
             await _send_response(
-                stream, 503, b"", [*own, (header.NOT_EXECUTED, b"1")]
+                stream,
+                503,
+                b"",
+                [*response_headers, (header.NOT_EXECUTED, b"1")],
             )
             now = steadyclock.read_monotonic()
             LOG.info(
@@ -197,7 +203,8 @@
                 },
             )
             return True
-        # Logged at once, so that it is known also if this program is killed.
+        # Logged before the work, so that the run is on record even if this
+        # program is killed.
         LOG.info("running", extra={"request_id": request_id})
         self._ledger.runs.append(request_id)
         self._ledger.heads.append(headers)
@@ -206,7 +213,7 @@
         ):
             await self._crash(request_id)
         signed = [
-            *own,
+            *response_headers,
             (header.SIGNATURE, f"{self._settings.name}.{path}".encode()),
         ]
         if path.startswith("/stream"):
@@ -221,14 +228,14 @@
                 (header.SIGNATURE, b"other"),
             ]
             await stream.send(_format_response(200, b"surplus", other))
-        answer = json.dumps({"path": path, "bytes": len(body)}).encode()
+        payload = json.dumps({"path": path, "bytes": len(body)}).encode()
         if faults.unframed:
             await stream.send(
-                _format_response(200, answer, signed, framed=False)
+                _format_response(200, payload, signed, framed=False)
             )
             return False
         status = 500 if faults.fail else 200
-        await _send_response(stream, status, answer, signed)
+        await _send_response(stream, status, payload, signed)
         return True
 
     def _record_arrival(self, request_id: str) -> None:
@@ -237,7 +244,7 @@
         LOG.info("arrived", extra={"request_id": request_id, "at": now})
 
     async def _crash(self, request_id: str) -> None:
-        """Ends this program with all that runs in it."""
+        """Exits the process, which ends all requests that run in it."""
         await anyio.sleep(CRASH_DELAY_S)
         LOG.error("crashed", extra={"request_id": request_id})
         os._exit(CRASH_EXIT_STATUS)
@@ -258,8 +265,8 @@
             ],
         )
         await stream.send(http.send(head) or b"")
-        begin = int(headers.get(header.LAST_EVENT.decode(), "0"))
-        for number in range(begin + 1, self._settings.events + 1):
+        last_event = int(headers.get(header.LAST_EVENT.decode(), "0"))
+        for number in range(last_event + 1, self._settings.events + 1):
             try:
                 await self._simulate_work(
                     stream, headers[header.REQUEST_ID.decode()]
@@ -280,7 +287,7 @@
     async def _simulate_work(
         self, stream: anyio.abc.SocketStream, request_id: str
     ) -> None:
-        """Works for a while; notes it if the caller goes meanwhile."""
+        """Waits for the configured time; records callers that disconnect."""
         work_s = self._faults.work_s
         if work_s is None:
             work_s = self._settings.work_s
@@ -307,7 +314,10 @@
     headers: list[tuple[bytes, bytes]],
     framed: bool = True,
 ) -> bytes:
-    """Returns an answer's bytes; the parser would not let faults through."""
+    """Returns the bytes of a response.
+
+    They are built by hand because h11 would refuse to send faulty ones.
+    """
     lines = [f"HTTP/1.1 {status} Stand-in".encode()]
     lines.extend(name + b": " + value for name, value in headers)
     if framed:
@@ -316,7 +326,7 @@
 
 
 async def main(settings: FakeReplicaSettings, stop: process.Stop) -> None:
-    """Serves until a stop is asked for."""
+    """Serves until a stop is requested."""
     replica = Replica(settings)
     host, port = split_address(settings.listen)
     listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
--- a/ramptray/standin/store/__init__.py
+++ b/ramptray/standin/store/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in of the users' store: keyed topics, waiting reads, faults."""
+"""Stand-in of the users' store: keyed topics, long polling, faults."""
--- a/ramptray/standin/store/main.py
+++ b/ramptray/standin/store/main.py
@@ -1,4 +1,4 @@
-"""``ramptray-fake-store``: the users' store as far as ramptray uses it."""
+"""``ramptray-fake-store``: the part of the users' store that ramptray uses."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
     Attributes:
         listen: IP number and port.
-        log_level: Least level that is logged.
+        log_level: Lowest level that is logged.
     """
 
     listen: Address
@@ -33,13 +33,14 @@
 
 
 class Faults(model.Model, frozen=True, kw_only=True):
-    """Faults that a test sets.
+    """Faults that a test injects.
 
     Attributes:
-        busy: Whether each call is turned away.
-        silent: Whether calls that arrive now never get an answer, also not
-            later; those that wait already are answered.
-        forgotten: Records before this offset are not kept any more.
+        busy: Whether each call is refused with status 503.
+        silent: Whether calls that arrive from now on never get a response,
+            even after the fault is cleared. Reads that were already waiting
+            get theirs.
+        forgotten: Offset before which records are no longer retained.
     """
 
     busy: bool = False
@@ -48,30 +49,30 @@
 
 
 class Rollback(model.Model, frozen=True, kw_only=True):
-    """What a store that comes back from an older copy has lost.
+    """What a store loses when it is restored from an older copy.
 
     Attributes:
-        records: The newest records of each topic, so many.
+        records: Number of records lost from the end of each topic.
     """
 
     records: model.Count
 
 
 class Topic:
-    """One keyed topic with a single part."""
+    """A keyed topic with a single partition."""
 
     def __init__(self) -> None:
         self.records: list[tuple[str, bytes]] = []
         self.changed = anyio.Event()
 
     def drop_newest(self, count: int) -> None:
-        """Drops the newest records; their offsets are given out again."""
+        """Drops the newest records; later records reuse their offsets."""
         del self.records[max(0, len(self.records) - count) :]
         self.changed.set()
         self.changed = anyio.Event()
 
     def append(self, key: str, value: bytes) -> None:
-        """Adds a record; an empty value drops the key."""
+        """Appends a record; an empty value deletes the key."""
         self.records.append((key, value))
         self.changed.set()
         self.changed = anyio.Event()
@@ -87,7 +88,7 @@
 
 
 class Store:
-    """The stand-in's HTTP interface."""
+    """The HTTP interface of the store stand-in."""
 
     def __init__(self) -> None:
         self._faults = Faults()
@@ -125,8 +126,8 @@
         topic = self._topics[http.query_params["topic"]]
         body = await http.body()
         offset = len(topic.records)
-        wanted = http.query_params.get("asOf")
-        if wanted is not None and int(wanted) != offset:
+        expected = http.query_params.get("asOf")
+        if expected is not None and int(expected) != offset:
             return responses.Response(status_code=PRECONDITION_FAILED)
         while body:
             (length,) = page.RECORD_LENGTH.unpack_from(body)
@@ -134,15 +135,15 @@
             body = body[page.RECORD_LENGTH.size + length :]
             key_end = 1 + record[0]
             topic.append(record[1:key_end].decode(), record[key_end:])
-        told = {"offset": offset, "end": len(topic.records)}
-        return self._make_response(msgspec.json.encode(told))
+        result = {"offset": offset, "end": len(topic.records)}
+        return self._make_response(msgspec.json.encode(result))
 
     async def _roll_back(self, http: requests.Request) -> responses.Response:
-        """Comes back from a copy that lacks the newest records."""
-        loss = msgspec.json.decode(await http.body(), type=Rollback)
+        """Restores the store from a copy that lacks the newest records."""
+        rollback = msgspec.json.decode(await http.body(), type=Rollback)
         self._generation += 1
         for topic in self._topics.values():
-            topic.drop_newest(loss.records)
+            topic.drop_newest(rollback.records)
         return responses.Response(status_code=OK)
 
     async def _set_faults(self, http: requests.Request) -> responses.Response:
@@ -152,7 +153,7 @@
     async def _show_call_count(
         self, http: requests.Request
     ) -> responses.Response:
-        """Returns how many calls VMs have made."""
+        """Returns the number of calls made by VMs."""
         return responses.JSONResponse({"calls": self._calls})
 
     async def _read_newest(self, http: requests.Request) -> responses.Response:
@@ -172,7 +173,11 @@
     async def _apply_faults(
         self, http: requests.Request
     ) -> responses.Response | None:
-        """Returns the answer to a call that is turned away, if this one is."""
+        """Returns the response to a call that is refused because of a fault.
+
+        Returns None if the call is to be served. While the store is silent,
+        a call waits here until its caller disconnects.
+        """
         if self._faults.silent:
             await _wait_for_disconnect(http)
         return (
@@ -184,9 +189,9 @@
     def _make_response(
         self, body: bytes = b"", status: int = OK
     ) -> responses.Response:
-        """Returns an answer that names the copy the store speaks from."""
-        named = {store.GENERATION_HEADER: str(self._generation)}
-        return responses.Response(body, status, named)
+        """Returns a response whose header carries the store's generation."""
+        headers = {store.GENERATION_HEADER: str(self._generation)}
+        return responses.Response(body, status, headers)
 
     async def _read(self, http: requests.Request) -> responses.Response:
         self._calls += 1
@@ -207,22 +212,24 @@
             bytes([len(key)]) + key.encode() + value
             for key, value in topic.records[offset:]
         ]
-        head = page.PAGE_HEADER.pack(len(topic.records), self._faults.forgotten)
+        page_header = page.PAGE_HEADER.pack(
+            len(topic.records), self._faults.forgotten
+        )
         body = b"".join(
             page.RECORD_LENGTH.pack(len(record)) + record for record in records
         )
-        return self._make_response(head + body)
+        return self._make_response(page_header + body)
 
 
 async def _wait_for_disconnect(http: requests.Request) -> None:
-    """Leaves a call without an answer; its connection stays open."""
+    """Waits until the caller disconnects, without sending a response."""
     message = await http.receive()
     while message["type"] != "http.disconnect":
         message = await http.receive()
 
 
 async def main(settings: FakeStoreSettings, stop: process.Stop) -> None:
-    """Serves until a stop is asked for."""
+    """Serves until a stop is requested."""
     server = webserver.make_server(Store().make_app())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.serve, [webserver.bind(settings.listen)])
