--- a/ramptray/command/timeline_page.py
+++ b/ramptray/command/timeline_page.py
@@ -88,9 +88,9 @@
 def _iterate_lanes(processes: list[str]) -> Iterator[str]:
     for index, name in enumerate(processes):
         y = LANE_HEIGHT * (index + 1)
-        end_x = LABEL_WIDTH + PLOT_WIDTH
         yield (
-            f'<line x1="{LABEL_WIDTH}" x2="{end_x}" y1="{y}" y2="{y}" '
+            f'<line x1="{LABEL_WIDTH}" x2="{LABEL_WIDTH + PLOT_WIDTH}" '
+            f'y1="{y}" y2="{y}" '
             f'stroke="#ddd"/><text x="0" y="{y + 4}">{html.escape(name)}</text>'
         )
 
