--- a/ramptray/command/timeline.py
+++ b/ramptray/command/timeline.py
@@ -1,4 +1,4 @@
-"""``ramptray timeline``: events of all processes in one order."""
+"""``ramptray timeline``: events of all processes in causal order."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 import msgspec
 
 from ramptray import settings, timeline
-from ramptray.command import lanes, peers
+from ramptray.command import peers, timeline_page
 from ramptray.command.error import CommandError
 from ramptray.peer import message as peer_message
 
-LIVE_EVERY_S = 0.5
-_FIXED = ("clock", "process", "zone", "kind", "subject")
+LIVE_INTERVAL_S = 0.5
+_COLUMN_FIELDS = ("clock", "process", "zone", "kind", "subject")
 _PATH = click.Path(path_type=pathlib.Path)
 
 
@@ -30,13 +30,15 @@
 )
 @click.option("--subject", default="", help="A request, server or bundle.")
 @click.option("--json", "as_json", is_flag=True, help="Print JSON lines.")
-@click.option("--html", "html_file", type=_PATH, help="Write a page instead.")
-@click.option("--live", is_flag=True, help="Go on until Ctrl-C.")
+@click.option(
+    "--html", "html_file", type=_PATH, help="Write an HTML page instead."
+)
+@click.option("--live", is_flag=True, help="Follow new events until Ctrl-C.")
 @click.option(
     "--logs",
     type=_PATH,
     multiple=True,
-    help="Read collected log files instead of asking processes.",
+    help="Read collected log files instead of querying processes.",
 )
 def command(
     settings_file: pathlib.Path | None,
@@ -46,21 +48,21 @@
     live: bool,
     logs: tuple[pathlib.Path, ...],
 ) -> None:
-    """Shows what happened, over all processes.
+    """Shows the events of all processes.
 
-    Events are in the order of the processes' hybrid logical clocks: what
-    caused another event stands before it, whatever the VMs' clocks say.
+    Events are sorted by the processes' hybrid logical clocks, so that a cause
+    precedes its effects even if the clocks of the VMs differ.
     """
     if live:
-        anyio.run(_follow, _read(settings_file), subject)
+        anyio.run(_follow, _read_settings(settings_file), subject)
         return
     events = (
         sort_events(read_logs(logs, subject))
         if logs
-        else anyio.run(fetch, _read(settings_file), 0, subject)
+        else anyio.run(fetch_events, _read_settings(settings_file), 0, subject)
     )
     if html_file is not None:
-        page = lanes.make_page(f"Time line {subject}".strip(), events)
+        page = timeline_page.make_page(f"Time line {subject}".strip(), events)
         html_file.write_text(page)
         click.echo(f"{html_file}: {len(events)} events")
         return
@@ -72,25 +74,25 @@
         )
 
 
-async def fetch(
-    given: settings.OperatorSettings, after: int, subject: str
+async def fetch_events(
+    operator_settings: settings.OperatorSettings, after: int, subject: str
 ) -> list[dict[str, Any]]:
-    """Returns the events of all processes, in the order of their clocks."""
-    async with peers.open_peers(given) as found:
-        reports = await found.find_reports()
-        answers = await found.ask_all(
+    """Fetches the events of all processes, sorted by their clocks."""
+    async with peers.open_client_from_settings(operator_settings) as client:
+        reports = await client.fetch_reports()
+        responses = await client.query_all(
             peer_message.AskTimeline(after, subject),
             [report["address"] for report in reports.values()],
         )
     return sort_events(
-        event for answer in answers.values() for event in answer.events
+        event for response in responses.values() for event in response.events
     )
 
 
 def read_logs(
     files: tuple[pathlib.Path, ...], subject: str
 ) -> Iterator[dict[str, Any]]:
-    """Yields the events in log files; other lines are passed over."""
+    """Yields the events in log files, skipping other lines."""
     for file in files:
         try:
             lines = file.read_bytes().splitlines()
@@ -106,16 +108,16 @@
 
 
 def sort_events(events: Any) -> list[dict[str, Any]]:
-    """Returns events in the order of their clocks."""
+    """Sorts events by clock, then by process."""
     return sorted(events, key=lambda e: (e["clock"], e["process"]))
 
 
 def format_event(event: dict[str, Any], first: int) -> str:
-    """Returns an event as a line."""
+    """Formats an event as a line, with the time relative to the first."""
     details = " ".join(
         f"{name}={value}"
         for name, value in event.items()
-        if name not in _FIXED and value is not None
+        if name not in _COLUMN_FIELDS and value is not None
     )
     seconds = (event["clock"] - first) / 1e6
     return (
@@ -124,18 +126,20 @@
     )
 
 
-async def _follow(given: settings.OperatorSettings, subject: str) -> None:
+async def _follow(
+    operator_settings: settings.OperatorSettings, subject: str
+) -> None:
     after = first = 0
     while True:
-        events = await fetch(given, after, subject)
+        events = await fetch_events(operator_settings, after, subject)
         for event in events:
             first = first or event["clock"]
             after = event["clock"]
             click.echo(format_event(event, first))
-        await anyio.sleep(LIVE_EVERY_S)
+        await anyio.sleep(LIVE_INTERVAL_S)
 
 
-def _read(file: pathlib.Path | None) -> settings.OperatorSettings:
+def _read_settings(file: pathlib.Path | None) -> settings.OperatorSettings:
     if file is None:
-        raise click.UsageError("--settings or --logs is needed")
+        raise click.UsageError("either --settings or --logs is required")
     return peers.read_settings(file)
--- a/ramptray/load/report.py
+++ b/ramptray/load/report.py
@@ -1,4 +1,4 @@
-"""Sums up what became of the requests, by tier."""
+"""Summarizes the results of requests by tier."""
 
 from __future__ import annotations
 
@@ -9,29 +9,30 @@
 import msgspec
 from hdrh import histogram
 
-from ramptray.load import shooter
+from ramptray.load import sender
 
-_HIGHEST_US = 600_000_000
+_MAX_DURATION_US = 600_000_000
 
 
 class TierReport(msgspec.Struct, frozen=True):
-    """What became of one tier's requests.
+    """Summary of the results of one tier's requests.
 
     Attributes:
         tier: The tier.
         sent: Requests sent.
-        complete: Whole answers.
-        useful: Whole answers within their deadline (goodput).
-        not_run: Refusals that say the request did not run.
-        unknown: Ends where the request may have run.
-        late: Requests whose caller hung up at its deadline.
-        broken: Requests whose entry went away.
-        wrong: Answers that were not the whole answer to their request.
+        complete: Complete answers.
+        useful: Complete, correct answers within their deadline (goodput).
+        not_run: Refusals that guarantee that the request did not run.
+        unknown: Failures after which the request may have run.
+        late: Requests cancelled by the caller at their deadline.
+        broken: Requests whose connection failed, or whose answer was cut off
+            or invalid.
+        wrong: Complete answers that differ from the expected one.
         useful_tokens: Output tokens of the useful answers.
         first_token_p50_s: Median time to the first token.
         first_token_p95_s: 95th percentile of it.
         gap_p95_s: 95th percentile of the time between tokens.
-        reasons: Why there was no whole answer.
+        reasons: Number of requests without a complete answer, by reason.
     """
 
     tier: str
@@ -50,22 +51,29 @@
     reasons: dict[str, int]
 
 
-def sum_up(hits: Iterable[shooter.Hit]) -> list[TierReport]:
+def summarize_tiers(
+    results: Iterable[sender.RequestResult],
+) -> list[TierReport]:
     """Returns a report for each tier."""
-    by_tier: dict[str, list[shooter.Hit]] = collections.defaultdict(list)
-    for hit in hits:
-        by_tier[hit.tier].append(hit)
-    return [_sum_up_tier(tier, found) for tier, found in by_tier.items()]
+    by_tier: dict[str, list[sender.RequestResult]] = collections.defaultdict(
+        list
+    )
+    for result in results:
+        by_tier[result.tier].append(result)
+    return [
+        _summarize_tier(tier, tier_results)
+        for tier, tier_results in by_tier.items()
+    ]
 
 
 def get_percentile(values: Iterable[float], quantile: float) -> float | None:
     """Returns a percentile of durations in seconds, None for no values."""
-    found = histogram.HdrHistogram(1, _HIGHEST_US, 3)
+    durations = histogram.HdrHistogram(1, _MAX_DURATION_US, 3)
     for value in values:
-        found.record_value(max(1, int(value * 1e6)))
-    if found.get_total_count() == 0:
+        durations.record_value(max(1, int(value * 1e6)))
+    if durations.get_total_count() == 0:
         return None
-    return round(float(found.get_value_at_percentile(quantile)) / 1e6, 4)
+    return round(float(durations.get_value_at_percentile(quantile)) / 1e6, 4)
 
 
 def format_table(reports: list[TierReport]) -> str:
@@ -81,7 +89,7 @@
 def summarize(
     reports: list[TierReport], ledgers: list[dict[str, Any]]
 ) -> dict[str, Any]:
-    """Returns everything as one JSON object."""
+    """Returns the reports and cache totals as one JSON object."""
     prefill = sum(ledger["prefill_tokens"] for ledger in ledgers)
     wasted = sum(ledger["wasted_prefill_tokens"] for ledger in ledgers)
     cached = sum(ledger["cached_tokens"] for ledger in ledgers)
@@ -94,28 +102,34 @@
     }
 
 
-def _sum_up_tier(tier: str, hits: list[shooter.Hit]) -> TierReport:
-    outcomes = collections.Counter(hit.outcome for hit in hits)
-    firsts = [h.first_token_s for h in hits if h.first_token_s is not None]
-    gaps = [gap for hit in hits for gap in hit.gaps]
-    useful = [hit for hit in hits if hit.useful]
-    complete = [hit for hit in hits if hit.outcome == "complete"]
+def _summarize_tier(
+    tier: str, results: list[sender.RequestResult]
+) -> TierReport:
+    outcomes = collections.Counter(result.outcome for result in results)
+    first_token_times = [
+        h.first_token_s for h in results if h.first_token_s is not None
+    ]
+    gaps = [gap for result in results for gap in result.gaps]
+    useful = [result for result in results if result.useful]
+    complete = [result for result in results if result.outcome == "complete"]
     return TierReport(
         tier,
-        sent=len(hits),
+        sent=len(results),
         complete=len(complete),
         useful=len(useful),
         not_run=outcomes["not_run"],
         unknown=outcomes["unknown"],
         late=outcomes["late"],
         broken=outcomes["broken"],
-        wrong=sum(not hit.whole for hit in complete),
-        useful_tokens=sum(hit.tokens for hit in useful),
-        first_token_p50_s=get_percentile(firsts, 50),
-        first_token_p95_s=get_percentile(firsts, 95),
+        wrong=sum(not result.whole for result in complete),
+        useful_tokens=sum(result.tokens for result in useful),
+        first_token_p50_s=get_percentile(first_token_times, 50),
+        first_token_p95_s=get_percentile(first_token_times, 95),
         gap_p95_s=get_percentile(gaps, 95),
         reasons=dict(
-            collections.Counter(hit.reason for hit in hits if hit.reason)
+            collections.Counter(
+                result.reason for result in results if result.reason
+            )
         ),
     )
 
