--- a/bench/replay/world.py
+++ b/bench/replay/world.py
@@ -55,7 +55,7 @@
             call.deadline - self._world.timer.now,
             limit_tokens=call.prompt_tokens + call.output_tokens,
             objective_s=kind.objective_s,
-            wait_s=kind.patience_s * service.WAIT_PART,
+            wait_s=kind.patience_s * service.MAX_WAIT_FRACTION,
             max_gap_s=kind.max_gap_s,
             event_tokens=self._world.event_tokens,
         )
@@ -225,7 +225,7 @@
         if owner is self._owner:
             self._deliver(owner.receive(ENTRY, told, self.timer.now))
 
-    def _deliver(self, effects: list[owner_effect.ToEntry]) -> None:
+    def _deliver(self, effects: list[owner_effect.SendToEntry]) -> None:
         for effect in effects:
             at = self.timer.now + WAY_S
             self.timer.call_at(at, self._hear, effect.message)
@@ -245,7 +245,7 @@
 
     def _make_owner(self) -> shard.ShardOwner:
         customers = self._given.customers
-        rate = limit.Rate(
+        rate = limit.RateLimit(
             tokens_per_s=customers.tokens_per_s,
             span_s=customers.span_s,
             span_total=customers.span_total,
--- a/ramptray/core/fleet.py
+++ b/ramptray/core/fleet.py
@@ -1,4 +1,4 @@
-"""The backend servers of one shard, and which request has a place on which."""
+"""The backend servers of one shard and the requests placed on them."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from ramptray.core import candidate, eligibility, message, queue, rtt
 from ramptray.core import speed as speeds
 
-ORPHAN_S = 30.0
-"""Longest time a lost entry's request keeps its place, in seconds."""
+ORPHAN_TIMEOUT_S = 30.0
+"""Time after which the request of a lost entry loses its slot, in seconds."""
 
-FASTEST = 8
-"""How many of the fastest backend servers are checked for an objective."""
+MAX_FASTEST = 8
+"""Number of the fastest backend servers checked for a latency objective."""
 
 
 class Fleet:
     """Keeps a shard's view of its backend servers.
 
     Args:
-        report_due_at: Until then a backend server gets no work before its
-            first report.
-        learned: Speeds that earlier owners have learned.
+        report_due_at: Until then a backend server gets no requests before its
+            first load report.
+        learned: Speeds learned by earlier owners.
 
     Attributes:
-        backends: The backend servers by their names.
-        eligibility: Which of them a request may go to.
+        backends: The backend servers by name.
+        eligibility: Filters the servers that a request may go to.
     """
 
     def __init__(
@@ -38,45 +38,43 @@
         self._speeds = dict(learned)
         self._hints: dict[str, message.ServerHints] = {}
         self._wanted: frozenset[str] = frozenset()
-        self._where: dict[str, backends.Backend] = {}
-        self._line = speeds.Line()
+        self._backend_of: dict[str, backends.Backend] = {}
+        self._line = speeds.LatencyLine()
         self._rtt = rtt.RttEstimator(0.0, backends.MAX_RTT_S)
         self._fastest: list[backends.Backend] = []
-        self._pool = candidate.FreePool()
-        self._holders = candidate.HolderIndex()
+        self._pool = candidate.FreeBackendPool()
+        self._holders = candidate.PrefixHolderIndex()
 
     def __contains__(self, request_id: str) -> bool:
-        return request_id in self._where
+        return request_id in self._backend_of
 
     @property
     def is_empty(self) -> bool:
-        """Whether no request has a place."""
-        return not self._where
+        """Whether no request occupies a slot."""
+        return not self._backend_of
 
     @property
     def has_usable(self) -> bool:
-        """Whether there is a backend server worth waiting for."""
+        """Whether any server is worth waiting for: neither leaving nor lost."""
         return any(not known.is_lost for known in self.backends.values())
 
-    # What is known of the backend servers.
-
     def configure(
         self, infos: Iterable[backends.BackendInfo], version: str
     ) -> None:
-        """Takes the backend servers that may get new work.
+        """Sets the backend servers that may get new requests.
 
-        Those that are not named any more stay until their last request ends.
+        Servers that are no longer listed stay until their last request ends.
 
         Args:
-            infos: What the bundle says of each of them.
+            infos: Facts on each of them from the bundle.
             version: The model version to serve.
         """
         wanted = {info.name: info for info in infos}
         self._wanted = frozenset(wanted)
         for name, info in wanted.items():
             known = self.backends.get(name)
-            if known is None or not known.info.is_alike(info):
-                self._renew(info, known)
+            if known is None or not known.info.equals_except_warm_at(info):
+                self._replace_backend(info, known)
             else:
                 known.info = info
         for known in self.backends.values():
@@ -89,12 +87,12 @@
             if not self.backends[name].placed:
                 del self.backends[name]
 
-    def wants(self, name: str) -> bool:
-        """Returns whether the bundle lets a backend server get new work."""
+    def is_configured(self, name: str) -> bool:
+        """Returns whether the bundle lists a server for new requests."""
         return name in self._wanted
 
     def set_state(self, name: str, state: backends.BackendState) -> None:
-        """Notes that a backend server is leaving, or is back."""
+        """Sets a server's state; its own hint that it is leaving prevails."""
         if known := self.backends.get(name):
             hints = self._get_hints(known.info)
             if hints and hints.is_leaving:
@@ -102,7 +100,7 @@
             known.state = state
             self._pool.update(known)
 
-    def correct_load(
+    def apply_load_report(
         self,
         name: str,
         running: int,
@@ -110,55 +108,55 @@
         step_s: float,
         wanted: str,
     ) -> None:
-        """Takes an engine's lagging load report.
+        """Applies an engine's load report, which lags behind.
 
         Args:
             name: The backend server.
             running: Requests that run or wait there.
-            versions: The model versions that it has loaded.
-            step_s: Seconds between two tokens; 0 where that is not reported.
+            versions: Loaded model versions.
+            step_s: Seconds between two tokens; 0 if not reported.
             wanted: The model version to serve.
         """
         if known := self.backends.get(name):
             known.report_due_at = 0.0
-            known.correct(running, step_s)
+            known.apply_load_report(running, step_s)
             known.versions = versions
             known.choose_version(wanted)
             self._pool.update(known)
 
-    def note_silence(self, name: str) -> None:
-        """Notes that a backend server gives no load report."""
+    def note_missing_report(self, name: str) -> None:
+        """Lets a backend server get requests without a first load report."""
         if known := self.backends.get(name):
             known.report_due_at = 0.0
 
-    def take_speed(self, learned: message.SpeedLearned) -> None:
-        """Takes a speed that another owner has learned."""
+    def apply_speed(self, learned: message.SpeedLearned) -> None:
+        """Applies a speed that another owner has learned."""
         self._speeds[learned.backend] = learned
         known = self.backends.get(learned.backend)
         if known and known.info.run == learned.run:
-            known.take_speed(learned.speed)
+            known.apply_speed(learned.speed)
 
-    def take_hints(
+    def apply_hints(
         self, hints: message.ServerHints, entry: str, now: float
     ) -> None:
-        """Takes what a backend server says of itself in its answers.
+        """Applies the hints that a backend server sends with its responses.
 
         Args:
-            hints: What it says.
-            entry: The entry that got the answer, which the pause is for.
+            hints: The hints.
+            entry: The entry that got the response, to which a pause applies.
             now: The owner's clock in seconds.
         """
-        hints = hints.follow(self._hints.get(hints.backend))
+        hints = hints.merge_previous(self._hints.get(hints.backend))
         self._hints[hints.backend] = hints
         known = self.backends.get(hints.backend)
         if known and known.info.run == hints.run:
-            self._apply_hints(known, hints)
+            self._apply_to_backend(known, hints)
             if hints.pause_s > 0.0:
                 until = now + hints.pause_s
-                known.pauses.take(entry, until)
-                self.eligibility.note_pause(until)
+                known.pauses.add(entry, until)
+                self.eligibility.record_pause(until)
 
-    def _apply_hints(
+    def _apply_to_backend(
         self, known: backends.Backend, hints: message.ServerHints
     ) -> None:
         known.limit_per_s = hints.limit_per_s
@@ -169,24 +167,22 @@
     def _get_hints(
         self, info: backends.BackendInfo
     ) -> message.ServerHints | None:
-        """Returns the hints of a backend server's present run."""
+        """Returns the hints of a backend server's current run."""
         hints = self._hints.get(info.name)
         return hints if hints and hints.run == info.run else None
 
-    # Candidates for a request.
-
     def list_all(self) -> list[backends.Backend]:
         """Returns every backend server."""
         return list(self.backends.values())
 
-    def take_window(self) -> list[backends.Backend]:
-        """Returns the next few backend servers with a free place."""
-        return self._pool.take_window()
+    def next_window(self) -> list[backends.Backend]:
+        """Returns the next few backend servers with a free slot."""
+        return self._pool.next_window()
 
     def add_holders(
         self, window: list[backends.Backend], request: message.RequestInfo
     ) -> list[backends.Backend]:
-        """Returns a window with those that may hold the request's prefix."""
+        """Adds the servers that may hold the request's prefix to a window."""
         if len(window) == len(self._pool):
             return window
         holders = (
@@ -195,8 +191,6 @@
         )
         return [*(h for h in holders if h is not None), *window]
 
-    # Places.
-
     def place(
         self,
         request: message.RequestInfo,
@@ -206,51 +200,51 @@
         now: float,
         asked_at: float | None = None,
     ) -> None:
-        """Gives a request a place.
+        """Occupies a slot on a backend server for a request.
 
         Args:
             request: The request.
             chosen: The backend server.
-            entry: The entry that has its caller.
-            grant_id: The grant; empty where another owner gave it.
-            now: When it got the place.
-            asked_at: When it began to wait; None for at the same time.
+            entry: The entry that serves its caller.
+            grant_id: The grant; empty if another owner granted it.
+            now: Time of the placement.
+            asked_at: Time at which it was queued; None for ``now``.
         """
         placed = chosen.place(request, entry, grant_id, now)
         placed.asked_at = now if asked_at is None else asked_at
         self._pool.update(chosen)
         self._holders.add(request.prefix, chosen.info.name)
-        self._where[request.request_id] = chosen
+        self._backend_of[request.request_id] = chosen
 
     def find(self, request_id: str) -> backends.Backend | None:
-        """Returns the backend server on which a request has its place."""
-        return self._where.get(request_id)
+        """Returns the backend server on which a request is placed."""
+        return self._backend_of.get(request_id)
 
-    def get_placed(self, request_id: str) -> backends.Placed | None:
-        """Returns a request's place, if it has one."""
-        backend = self._where.get(request_id)
+    def get_placed(self, request_id: str) -> backends.PlacedRequest | None:
+        """Returns a placed request, or None."""
+        backend = self._backend_of.get(request_id)
         return backend.placed.get(request_id) if backend else None
 
-    def begin_answer(self, first: message.FirstToken, now: float) -> None:
-        """Learns from a first token, also for servers without a speed yet."""
-        backend = self._where[first.request_id]
+    def record_first_token(self, first: message.FirstToken, now: float) -> None:
+        """Learns from a first token, also for servers of unknown speed."""
+        backend = self._backend_of[first.request_id]
         knew = backend.speed.is_learned
-        backend.begin_answer(first, now)
+        backend.record_first_token(first, now)
         if backend.speed.is_learned and not knew:
             for other in self.backends.values():
-                self._expect_speed(other)
+                self._assume_speed(other)
 
     def refresh(self, now: float, part: float) -> None:
-        """Finds the fastest backend servers; to be called at each tick.
+        """Updates the list of the fastest servers; called at each tick.
 
-        Those that a rate limit keeps requests from come last.
+        Rate-limited servers come last.
 
         Args:
             now: The owner's clock in seconds.
-            part: The part of each limit that this owner hands out.
+            part: This owner's share of each limit.
         """
         self._fastest = heapq.nsmallest(
-            FASTEST,
+            MAX_FASTEST,
             (known for known in self.backends.values() if known.is_open(now)),
             key=lambda known: (
                 known.get_rate_wait(now, part),
@@ -259,14 +253,14 @@
         )
 
     def get_rate_limit(self, now: float, part: float) -> float | None:
-        """Returns the requests a second that may be sent to all of them.
+        """Returns the total rate limit of all servers, in requests per second.
 
         Args:
             now: The owner's clock in seconds.
-            part: The part of each limit that this owner hands out.
+            part: This owner's share of each limit.
 
         Returns:
-            The rate; None where some server has no limit, or none is usable.
+            The rate; None if some server has no limit, or none is usable.
         """
         rate_per_s = None
         for known in self.backends.values():
@@ -279,83 +273,81 @@
         return rate_per_s
 
     def list_fastest(
-        self, waiting: queue.Waiting, now: float
+        self, waiting: queue.QueuedRequest, now: float
     ) -> list[backends.Backend]:
         """Returns the fastest backend servers that a request may go to."""
-        usable = self.eligibility.list_open_to(self._fastest, waiting, now)
-        return usable or self.eligibility.leave_out(
+        usable = self.eligibility.filter_eligible(self._fastest, waiting, now)
+        return usable or self.eligibility.filter_reachable(
             self.list_all(), waiting.request
         )
 
     def end(self, ended: message.Ended, now: float) -> backends.Backend | None:
-        """Frees the place of a request that has ended.
+        """Frees the slot of a request that has ended.
 
         Returns:
-            The backend server that has got room, if any.
+            The backend server with the freed slot, if any.
         """
-        backend = self._where[ended.request_id]
+        backend = self._backend_of[ended.request_id]
         if not ended.certain:
             backend.placed[ended.request_id].orphaned_at = now
             return None
-        del self._where[ended.request_id]
+        del self._backend_of[ended.request_id]
         backend.end(ended, now)
         self._pool.update(backend)
         return backend
 
-    def free(self, request_id: str) -> backends.Placed | None:
-        """Takes a request's place back, if it has one."""
-        backend = self._where.pop(request_id, None)
+    def free(self, request_id: str) -> backends.PlacedRequest | None:
+        """Frees a request's slot, if it has one."""
+        backend = self._backend_of.pop(request_id, None)
         if backend is None:
             return None
         placed = backend.remove(request_id)
         self._pool.update(backend)
         return placed
 
-    # Entries that come and go.
-
-    def list_of_entry(self, entry: str) -> set[str]:
-        """Returns the requests of an entry that have a place."""
+    def list_requests_of_entry(self, entry: str) -> set[str]:
+        """Returns the placed requests of an entry."""
         return {
             request_id
-            for request_id, backend in self._where.items()
+            for request_id, backend in self._backend_of.items()
             if backend.placed[request_id].entry == entry
         }
 
-    def lose_entry(self, entry: str, now: float) -> None:
-        """Notes that an entry has gone; what runs keeps its place for now."""
+    def mark_orphaned(self, entry: str, now: float) -> None:
+        """Marks a lost entry's requests as orphaned; they keep their slots."""
         for known in self.backends.values():
-            known.pauses.forget(entry)
-        for request_id in self.list_of_entry(entry):
-            self._where[request_id].forget_prompt(request_id)
-            placed = self._where[request_id].placed[request_id]
+            known.pauses.remove(entry)
+        for request_id in self.list_requests_of_entry(entry):
+            self._backend_of[request_id].cancel_prefill(request_id)
+            placed = self._backend_of[request_id].placed[request_id]
             if placed.orphaned_at is None:
                 placed.orphaned_at = now
 
     def free_orphans(self, now: float) -> None:
-        """Takes back the places of requests whose entry is long gone."""
-        for request_id, backend in list(self._where.items()):
+        """Frees slots of requests orphaned for ``ORPHAN_TIMEOUT_S``."""
+        for request_id, backend in list(self._backend_of.items()):
             orphaned_at = backend.placed[request_id].orphaned_at
-            if orphaned_at is not None and now - orphaned_at > ORPHAN_S:
+            if orphaned_at is not None and now - orphaned_at > ORPHAN_TIMEOUT_S:
                 self.free(request_id)
 
-    def _renew(
+    def _replace_backend(
         self, info: backends.BackendInfo, former: backends.Backend | None
     ) -> None:
-        """Begins a backend server's view; what runs there keeps its place.
+        """Creates a new view of a backend server and moves its requests to it.
 
-        A later run holds and knows nothing of before: what ran has ended.
+        A new run starts empty: the requests of the former run have ended.
         """
         new = backends.Backend(info, self._report_due_at, self._line, self._rtt)
         learned = self._speeds.get(info.name)
         if learned and learned.run == info.run:
-            new.take_speed(learned.speed)
+            new.apply_speed(learned.speed)
         if hints := self._get_hints(info):
-            self._apply_hints(new, hints)
-        self._expect_speed(new)
+            self._apply_to_backend(new, hints)
+        self._assume_speed(new)
         self.backends[info.name] = new
         if former and former.info.run != info.run:
             for request_id in former.placed:
-                del self._where[request_id]
+                del self._backend_of[request_id]
             former = None
         if former:
             new.pauses = former.pauses
@@ -366,8 +358,8 @@
             moved.orphaned_at = placed.orphaned_at
             moved.asked_at = placed.asked_at
             moved.answers_since = placed.answers_since
-            self._where[request_id] = new
+            self._backend_of[request_id] = new
 
-    def _expect_speed(self, backend: backends.Backend) -> None:
+    def _assume_speed(self, backend: backends.Backend) -> None:
         if not backend.speed.is_learned:
-            backend.expect_speed_of(self.backends.values())
+            backend.assume_speed_of(self.backends.values())
--- a/ramptray/core/selector.py
+++ b/ramptray/core/selector.py
@@ -1,20 +1,20 @@
-"""Which backend server a waiting request gets."""
+"""Selection of the backend server for a queued request."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Sequence
 
-from ramptray.core import backend as backends
 from ramptray.core import (
+    anti_affinity,
     fleet,
     limit,
     message,
     policy,
     queue,
     release,
-    separation,
 )
+from ramptray.core import backend as backends
 
 
 class Selector:
@@ -23,7 +23,7 @@
     Args:
         servers: The shard's backend servers.
         chosen: The policy.
-        limits: The part of each limit that this owner hands out.
+        limits: The limits, with this owner's share of them.
         releases: Which releases may get requests.
         is_suspect: Returns whether a content may have ended backend servers.
     """
@@ -34,7 +34,7 @@
         chosen: policy.Policy,
         limits: limit.Limits,
         releases: release.ReleaseGate,
-        is_suspect: separation.IsSuspect,
+        is_suspect: anti_affinity.IsSuspect,
     ) -> None:
         self._fleet = servers
         self._policy = chosen
@@ -42,41 +42,43 @@
         self._releases = releases
         self._is_suspect = is_suspect
 
-    def take_window(self) -> list[backends.Backend]:
-        """Returns the backend servers that the next decision looks at."""
-        if self._policy.looks_at_all:
+    def next_window(self) -> list[backends.Backend]:
+        """Returns the backend servers that the next decision considers."""
+        if self._policy.needs_all_backends:
             return self._fleet.list_all()
-        return self._fleet.take_window()
+        return self._fleet.next_window()
 
     def add_holders(
         self, window: list[backends.Backend], request: message.RequestInfo
     ) -> list[backends.Backend]:
-        """Returns a window with those that may hold the request's prefix."""
-        if self._policy.looks_at_all:
+        """Adds the servers that may hold the request's prefix to a window."""
+        if self._policy.needs_all_backends:
             return window
         return self._fleet.add_holders(window, request)
 
     def select(
         self,
-        waiting: queue.Waiting,
+        waiting: queue.QueuedRequest,
         share: float,
         now: float,
         candidates: list[backends.Backend],
-        ahead: Sequence[queue.Waiting],
+        ahead: Sequence[queue.QueuedRequest],
     ) -> backends.Backend | None:
-        """Returns the backend server for a request; None to keep it waiting.
+        """Returns the backend server for a request; None to keep it queued.
 
         Args:
             waiting: The request.
-            share: The part of each engine's places that its tier may use.
+            share: Fraction of each engine's slots that its tier may use.
             now: The owner's clock in seconds.
             candidates: Backend servers to choose from.
-            ahead: Waiting requests of higher tiers; the places that they may
-                take are not for this one.
+            ahead: Queued requests of higher tiers; servers that they may go to
+                are reserved for them.
         """
-        usable = self._fleet.eligibility.list_open_to(candidates, waiting, now)
-        usable = self._releases.list_open(usable)
-        usable = separation.keep_apart(
+        usable = self._fleet.eligibility.filter_eligible(
+            candidates, waiting, now
+        )
+        usable = self._releases.filter_allowed(usable)
+        usable = anti_affinity.separate_suspects(
             usable, waiting.request, self._is_suspect
         )
         return self._releases.choose(
@@ -84,39 +86,41 @@
             self._exclude_reserved(usable, ahead, now),
         )
 
-    def is_too_late(
-        self, waiting: queue.Waiting, now: float, wait_s: float = 0.0
+    def cannot_meet_objective(
+        self, waiting: queue.QueuedRequest, now: float, wait_s: float = 0.0
     ) -> bool:
-        """Returns whether an answer can begin in time nowhere any more.
+        """Returns whether no server can meet the latency objective any more.
 
         Args:
             waiting: The request.
             now: The owner's clock in seconds.
-            wait_s: Seconds that the requests before it take at the rate limit.
+            wait_s: Seconds until its turn, given the rate limit.
         """
         if waiting.late_at == math.inf:
             return False
         demand = self._make_demand(waiting, 1.0, now, wait_s)
         fastest = self._fleet.list_fastest(waiting, now)
-        return not any(self._policy.suits(demand, known) for known in fastest)
+        return not any(
+            self._policy.can_meet_objective(demand, known) for known in fastest
+        )
 
     def _exclude_reserved(
         self,
         candidates: list[backends.Backend],
-        ahead: Sequence[queue.Waiting],
+        ahead: Sequence[queue.QueuedRequest],
         now: float,
     ) -> list[backends.Backend]:
-        """Returns the candidates that no waiting request ahead may go to.
+        """Returns the candidates that no request ahead may go to.
 
-        Behind a cut, those are the backend servers on the other side; in a
-        pause of an entry, those that asked for it.
+        During a network partition, those are the servers on the other side;
+        during an entry's pause, the servers that requested it.
         """
         if not ahead or not candidates:
             return candidates
         reserved = {
             candidate.info.name
             for waiting in ahead
-            for candidate in self._fleet.eligibility.list_open_to(
+            for candidate in self._fleet.eligibility.filter_eligible(
                 candidates, waiting, now
             )
         }
@@ -124,7 +128,7 @@
 
     def _make_demand(
         self,
-        waiting: queue.Waiting,
+        waiting: queue.QueuedRequest,
         share: float,
         now: float,
         wait_s: float = 0.0,
--- a/ramptray/core/shedding.py
+++ b/ramptray/core/shedding.py
@@ -1,4 +1,4 @@
-"""Refusing waiting requests, or sending them to zones with room."""
+"""Load shedding: refuses queued requests or redirects them to other zones."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
     message,
     meter,
     owner_effect,
-    pace,
     queue,
-    remote,
+    remote_shards,
+    wait_estimator,
 )
 
 SHED_WINDOW_S = 60.0
-"""Span over which refusals are counted for operators, in seconds."""
+"""Window of the refusal counts shown to operators, in seconds."""
 
 STARTUP_GRACE_S = 3.0
-"""How long a new owner waits for the summaries of other zones, in seconds."""
+"""Seconds that a new owner waits for the summaries of other zones."""
 
-MIN_RETRY_S = 0.5
+MIN_RETRY_AFTER_S = 0.5
 """Shortest Retry-After, in seconds."""
 
-OUT_OF_REACH_RETRY_S = 1.0
-"""Shortest Retry-After where no backend server is in reach, in seconds: by then
-the balancer may send the caller to a VM that is better placed."""
+UNREACHABLE_RETRY_AFTER_S = 1.0
+"""Shortest Retry-After if no backend server is reachable, in seconds.  By then
+the load balancer may route the caller to a VM that can reach one."""
 
-MAX_RETRY_S = 30.0
+MAX_RETRY_AFTER_S = 30.0
 """Longest Retry-After, in seconds."""
 
 
 class Counters(msgspec.Struct):
-    """What the shard has done since its owner took over."""
+    """Numbers of decisions since the shard's owner took over."""
 
     enqueued: int = 0
     granted: int = 0
@@ -45,63 +45,63 @@
 
 
 class Shedder:
-    """Takes requests out of a shard's queue that are not to wait there.
+    """Removes requests from a shard's queue that must not stay there.
 
     Args:
-        waiting: The queue.
+        shard_queue: The queue.
         servers: The shard's backend servers.
         limits: The customers' limits.
-        paced: Estimates of waiting.
-        others: The same shard in other zones.
-        entries: The entries that ask here.
-        born: When the owner took over, on its clock in seconds.
+        estimator: Estimates waiting times.
+        remotes: The same shard in other zones.
+        entries: The entries that send requests to this owner.
+        started_at: When the owner took over, on its clock in seconds.
 
     Attributes:
-        counters: What the shard has done.
-        queue_cost: Cost that may wait.
+        counters: Numbers of decisions since the owner took over.
+        queue_cost: Capacity of the queue, as a cost.
     """
 
     def __init__(
         self,
-        waiting: queue.ShardQueue,
+        shard_queue: queue.ShardQueue,
         servers: fleet.Fleet,
         limits: limit.Limits,
-        paced: pace.Pace,
-        others: remote.RemoteShards,
+        estimator: wait_estimator.WaitEstimator,
+        remotes: remote_shards.RemoteShards,
         entries: Collection[str],
-        born: float,
+        started_at: float,
     ) -> None:
         self.counters = Counters()
         self.queue_cost = 0
-        self._queue = waiting
+        self._queue = shard_queue
         self._fleet = servers
         self._limits = limits
-        self._pace = paced
-        self._remote = others
+        self._wait_estimator = estimator
+        self._remote = remotes
         self._entries = entries
-        self._born = born
+        self._started_at = started_at
         self._shed: dict[str, meter.RateMeter] = {}
 
     def list_shed(self, now: float) -> dict[str, int]:
-        """Returns how many requests of each tier were refused lately."""
+        """Returns the number of recently refused requests of each tier."""
         return {tier: shed.get_sum(now) for tier, shed in self._shed.items()}
 
     def admit(
-        self, waiting: queue.Waiting, now: float
-    ) -> owner_effect.ToEntry | None:
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> owner_effect.SendToEntry | None:
         """Counts a request against its customer's limit.
 
-        A request that was admitted before, here or elsewhere, is not counted
-        again.
+        A request that has already been admitted, here or in another zone, is
+        not counted again.
 
         Returns:
-            The refusal of one that is over the limit, else None.
+            The refusal if the request exceeds the limit, else None.
         """
         request = waiting.request
         if request.spilled_from or request.attempt:
             return None
-        counted = _count(waiting)
-        wait_s = self._limits.check(request.customer, counted, now)
+        counted = _get_limit_cost(waiting)
+        wait_s = self._limits.try_acquire(request.customer, counted, now)
         if wait_s == 0.0:
             waiting.counted_at = now
             return None
@@ -110,62 +110,66 @@
 
     def refuse_content(
         self, content: str, left_s: float
-    ) -> list[owner_effect.ToEntry]:
-        """Refuses what waits with a content that is blocked from now on."""
-        found = [
+    ) -> list[owner_effect.SendToEntry]:
+        """Refuses the queued requests with a newly blocked content."""
+        blocked = [
             waiting
             for waiting in self._queue.list_all()
             if waiting.request.content == content
         ]
-        for waiting in found:
+        for waiting in blocked:
             self._queue.remove(waiting)
         return [
             self._make_reject(waiting, message.Reason.BLOCKED, left_s)
-            for waiting in found
+            for waiting in blocked
         ]
 
-    def refuse_expired(self, now: float) -> list[owner_effect.ToEntry]:
-        """Refuses the requests that may not wait any longer."""
+    def refuse_expired(self, now: float) -> list[owner_effect.SendToEntry]:
+        """Refuses the requests past their deadline or refusal time."""
         return [
             self._refuse(waiting, _get_expiry_reason(waiting, now), now)
             for waiting in self._queue.list_expired(now)
         ]
 
-    def refuse_late(self, now: float) -> list[owner_effect.ToEntry]:
-        """Refuses late requests at once while others wait in time.
+    def refuse_late(self, now: float) -> list[owner_effect.SendToEntry]:
+        """Refuses late requests while requests that are not late are queued.
 
-        Load pattern: more is asked than the engines can do for some seconds.
-        Late requests then wait in vain behind those that may be in time, and
-        are refused in the end; sooner, their callers lose less.  What has run
-        before is not refused: it may go on somewhere.
+        During an overload of some seconds, late requests would wait behind
+        those that can still meet their objective, and be refused in the end.
+        An early refusal costs their callers less time.  A request that has
+        already been attempted is not refused, as it may be resumed elsewhere.
         """
         return [
             self._refuse(waiting, message.Reason.OVERLOADED, now)
-            for waiting in self._queue.list_behind()
+            for waiting in self._queue.list_late()
             if not waiting.request.attempt
         ]
 
-    def refuse_out_of_reach(
-        self, waiting: queue.Waiting, now: float
-    ) -> list[owner_effect.ToEntry]:
-        """Gives up a request whose entry can reach no backend server.
+    def refuse_unreachable(
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> list[owner_effect.SendToEntry]:
+        """Redirects or refuses a request whose entry can reach no server.
 
-        Its caller may come back to another VM.
+        Its caller may retry at another VM.
         """
-        if not self._fleet.eligibility.is_out_of_reach(waiting.request):
+        if not self._fleet.eligibility.has_no_reachable_backend(
+            waiting.request
+        ):
             return []
-        return [self._turn_away(waiting, now, message.Reason.NO_BACKEND)]
+        return [
+            self._redirect_or_refuse(waiting, now, message.Reason.NO_BACKEND)
+        ]
 
     def refuse_paused(
-        self, candidates: Iterable[queue.Waiting], now: float
-    ) -> list[owner_effect.ToEntry]:
-        """Turns away what every server wants to wait for longer than it may.
+        self, candidates: Iterable[queue.QueuedRequest], now: float
+    ) -> list[owner_effect.SendToEntry]:
+        """Redirects or refuses requests that cannot wait for a pause to end.
 
-        Load pattern: all servers of a service turn requests away and ask the
+        This applies when all servers of a service refuse requests and ask the
         same VM for a pause.
         """
         return [
-            self._turn_away(waiting, now)
+            self._redirect_or_refuse(waiting, now)
             for waiting in candidates
             if waiting.request.request_id in self._queue
             and now + self._fleet.eligibility.get_pause(waiting, now)
@@ -173,109 +177,119 @@
         ]
 
     def make_room(
-        self, newest: queue.Waiting, now: float
-    ) -> list[owner_effect.ToEntry]:
-        """Turns away what the queue cannot hold after a request has come."""
-        out: list[owner_effect.ToEntry] = []
+        self, newest: queue.QueuedRequest, now: float
+    ) -> list[owner_effect.SendToEntry]:
+        """Redirects or refuses the excess after a request was queued."""
+        out: list[owner_effect.SendToEntry] = []
         while self._queue.cost > self.queue_cost:
             victim = self._queue.pick_victim()
             if victim is None or len(self._queue) == 1:
                 break
-            out.append(self._turn_away(victim, now))
+            out.append(self._redirect_or_refuse(victim, now))
         if newest.request.request_id not in self._queue:
             return out
         if self._cannot_meet_deadline(newest, now):
             reason = message.Reason.DEADLINE
-            out.append(self._turn_away(newest, now, reason))
+            out.append(self._redirect_or_refuse(newest, now, reason))
         return [*out, *self.spill_over(now)]
 
-    def spill_over(self, now: float) -> list[owner_effect.ToEntry]:
-        """Turns everything away while no backend server is left here.
+    def spill_over(self, now: float) -> list[owner_effect.SendToEntry]:
+        """Redirects or refuses all requests if no backend server is usable.
 
-        A new owner first waits for the summaries of the other zones.
+        A new owner only redirects until it has had time to receive the
+        summaries of the other zones.
         """
         if self._fleet.has_usable:
             return []
-        is_starting = now - self._born <= STARTUP_GRACE_S
+        is_starting = now - self._started_at <= STARTUP_GRACE_S
         lowest_first = sorted(self._queue.list_all(), key=lambda w: -w.rank)
         return [
-            self._turn_away(waiting, now)
+            self._redirect_or_refuse(waiting, now)
             for waiting in lowest_first
             if not is_starting or self._remote.has_room(waiting)
         ]
 
-    def _cannot_meet_deadline(self, waiting: queue.Waiting, now: float) -> bool:
+    def _cannot_meet_deadline(
+        self, waiting: queue.QueuedRequest, now: float
+    ) -> bool:
         """Returns whether a request cannot meet its deadline.
 
-        While a lower tier waits, a request is never refused early: it goes
-        before all of them as soon as any engine has room.
+        While requests of a lower tier are queued, a request is never refused
+        early: it goes before all of them as soon as any engine has a free slot.
         """
         if self._queue.has_lower(waiting.rank):
             return False
-        wait_s = self._pace.estimate_wait(waiting, now)
+        wait_s = self._wait_estimator.estimate_wait(waiting, now)
         return now + wait_s > waiting.deadline
 
-    def _turn_away(
+    def _redirect_or_refuse(
         self,
-        waiting: queue.Waiting,
+        waiting: queue.QueuedRequest,
         now: float,
         reason: message.Reason = message.Reason.OVERLOADED,
-    ) -> owner_effect.ToEntry:
-        """Sends a request to a zone with room, or gives it up."""
+    ) -> owner_effect.SendToEntry:
+        """Redirects a request to a zone with capacity, or refuses it."""
         target = self._remote.pick(waiting)
         if target is None:
             return self._refuse(waiting, reason, now)
         self._queue.remove(waiting)
         self.counters.redirected += 1
-        return owner_effect.ToEntry(
+        return owner_effect.SendToEntry(
             waiting.entry,
             message.Redirect(
                 waiting.request.request_id, target.shard.zone, target.owner
             ),
-            self._make_basis(),
+            self._make_inputs(),
         )
 
     def _refuse(
-        self, waiting: queue.Waiting, reason: message.Reason, now: float
-    ) -> owner_effect.ToEntry:
+        self, waiting: queue.QueuedRequest, reason: message.Reason, now: float
+    ) -> owner_effect.SendToEntry:
         self._queue.remove(waiting)
         self._count_shed(waiting.request.tier, now)
         if waiting.counted_at is not None:
-            self._limits.give_back(
-                waiting.request.customer, _count(waiting), waiting.counted_at
+            self._limits.refund(
+                waiting.request.customer,
+                _get_limit_cost(waiting),
+                waiting.counted_at,
             )
         if not self._fleet.has_usable:
             reason = message.Reason.NO_BACKEND
-        least_s = MIN_RETRY_S
+        min_wait_s = MIN_RETRY_AFTER_S
         if reason is message.Reason.NO_BACKEND:
-            least_s = OUT_OF_REACH_RETRY_S
-        self._pace.count_refusal(waiting, now)
-        # In a pause of all entries the queue is served from its end on.
-        pause_s = self._fleet.eligibility.get_pause_of_all(
+            min_wait_s = UNREACHABLE_RETRY_AFTER_S
+        self._wait_estimator.count_refusal(waiting, now)
+        # During a pause of all entries, the queue is served after its end.
+        pause_s = self._fleet.eligibility.get_shortest_pause(
             len(self._entries), now
         )
         wait_s = max(
-            least_s,
-            pause_s + self._pace.estimate_wait(waiting, now),
-            pause_s + self._pace.estimate_return(waiting, now),
+            min_wait_s,
+            pause_s + self._wait_estimator.estimate_wait(waiting, now),
+            pause_s + self._wait_estimator.estimate_retry_after(waiting, now),
+        )
+        return self._make_reject(
+            waiting, reason, min(wait_s, MAX_RETRY_AFTER_S)
         )
-        return self._make_reject(waiting, reason, min(wait_s, MAX_RETRY_S))
 
     def _make_reject(
-        self, waiting: queue.Waiting, reason: message.Reason, retry_s: float
-    ) -> owner_effect.ToEntry:
-        return owner_effect.ToEntry(
+        self,
+        waiting: queue.QueuedRequest,
+        reason: message.Reason,
+        retry_s: float,
+    ) -> owner_effect.SendToEntry:
+        return owner_effect.SendToEntry(
             waiting.entry,
             message.Reject(waiting.request.request_id, reason, retry_s),
-            self._make_basis(),
+            self._make_inputs(),
         )
 
-    def _make_basis(self) -> owner_effect.Basis:
-        open_ones = [b for b in self._fleet.list_all() if not b.is_lost]
-        return owner_effect.Basis(
+    def _make_inputs(self) -> owner_effect.DecisionInputs:
+        usable = [b for b in self._fleet.list_all() if not b.is_lost]
+        return owner_effect.DecisionInputs(
             len(self._queue),
-            sum(len(known.placed) for known in open_ones),
-            sum(known.info.max_running for known in open_ones),
+            sum(len(server.placed) for server in usable),
+            sum(server.info.max_running for server in usable),
         )
 
     def _count_shed(self, tier: str, now: float) -> None:
@@ -284,14 +298,16 @@
         shed.add(1, now)
 
 
-def _count(waiting: queue.Waiting) -> int:
-    """Returns what a request counts against its customer's limit."""
+def _get_limit_cost(waiting: queue.QueuedRequest) -> int:
+    """Returns the tokens a request uses of its customer's limit."""
     counted = waiting.request.limit_tokens
     return waiting.cost if counted is None else counted
 
 
-def _get_expiry_reason(waiting: queue.Waiting, now: float) -> message.Reason:
-    """Returns why a request does not wait any longer."""
+def _get_expiry_reason(
+    waiting: queue.QueuedRequest, now: float
+) -> message.Reason:
+    """Returns the reason for refusing an expired request."""
     if waiting.deadline <= now:
         return message.Reason.DEADLINE
     return message.Reason.OVERLOADED
--- a/ramptray/entry/dispatcher.py
+++ b/ramptray/entry/dispatcher.py
@@ -1,8 +1,8 @@
-"""The task that owns all request machines of an entry.
+"""Owns the state machines of all requests of an entry.
 
-It is the only one that talks to schedulers.  An exchange (the task that serves
-one request) hands it events and receives effects; neither touches the other's
-state.
+The dispatcher is the only part of an entry that communicates with schedulers.
+An exchange (the task that serves one request) sends it events and receives
+effects; neither modifies the other's state.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from ramptray.bundle import acceptance, signature
 from ramptray.core import blocklist, claim, message, request, retry
 from ramptray.entry import (
-    blocked,
+    backend_directory,
+    block_propagator,
     claims,
     lag,
-    network,
     owners,
-    patience,
     server_hints,
+    timeouts,
 )
 from ramptray.entry import ticket as tickets
 from ramptray.peer import attachment
@@ -33,149 +33,153 @@
 
 LOG = logging.getLogger(__name__)
 
-TICK_S = 0.05
+TICK_INTERVAL_S = 0.05
 RETRY_AFTER_S = 1.0
-"""Retry-After of a VM that finds no scheduler to ask, in seconds."""
+"""Retry-After of requests that the entry itself rejects, in seconds, such as
+those for which it finds no scheduler."""
 
-ATTEMPT_RETRY_S = 0.05
-"""When to come back after the last attempt of a request has failed, in seconds:
-the owner knows of the failure by then and decides anew, or says itself how long
-its queue takes.  A longer pause makes answers late while many servers turn
-requests away."""
+ATTEMPT_RETRY_AFTER_S = 0.05
+"""Retry-After of a request whose last attempt has failed, in seconds.  By then
+the owner has learned of the failure and can place the request elsewhere, or
+reject it with the expected wait in its queue.  A longer value delays responses
+past their objective while many servers refuse requests."""
 
 
-class Home(Protocol):
-    """Where an entry stands; settings of any program that has one.
+class DispatcherSettings(Protocol):
+    """Settings that a program with an entry has to provide.
 
     Attributes:
-        vm: Name of its VM.
-        zone: The zone whose schedulers it asks.
-        scheduler: Address of the scheduler on its VM.
+        vm: Name of the entry's VM.
+        zone: The zone whose schedulers the entry uses.
+        scheduler: Address of the scheduler on the entry's VM.
     """
 
     @property
     def vm(self) -> str:
-        """Name of its VM."""
+        """Name of the entry's VM."""
 
     @property
     def zone(self) -> str:
-        """The zone whose schedulers it asks."""
+        """The zone whose schedulers the entry uses."""
 
     @property
     def scheduler(self) -> str:
-        """Address of the scheduler on its VM."""
+        """Address of the scheduler on the entry's VM."""
 
 
 class Dispatcher:
     """Owns the request machines and the links to schedulers.
 
     Attributes:
-        network: State of the backend servers as this entry knows it, by the
-            bundle in force.
-        timeline: Where events are noted.
-        server_hints: What backend servers say of themselves in answers.
-        on_doubt: Called with the address of a scheduler that does not reply.
+        backends: The backend servers of the bundle in force and their
+            reachability.
+        timeline: Receives the events of requests.
+        server_hints: Hints that backend servers give in their responses.
+        on_silent_owner: Called with the address of a scheduler that does not
+            reply.
     """
 
     def __init__(
         self,
-        settings: Home,
-        equipment: runtime.Runtime,
+        settings: DispatcherSettings,
+        process_runtime: runtime.Runtime,
         budget: retry.RetryBudget | None = None,
         shares_limits: bool = False,
         blocks: blocklist.Blocklist | None = None,
-        longest_pause_s: float = server_hints.LONGEST_PAUSE_S,
+        longest_pause_s: float = server_hints.MAX_PAUSE_S,
     ) -> None:
-        self.network = network.Network()
-        self.timeline = equipment.timeline
-        self._name = equipment.name
+        self.backends = backend_directory.BackendDirectory()
+        self.timeline = process_runtime.timeline
+        self._name = process_runtime.name
         self._vm = settings.vm
         self._zone = settings.zone
-        self._local = settings.scheduler
-        self._client = equipment.client
+        self._local_scheduler = settings.scheduler
+        self._client = process_runtime.client
         self._mailbox = mailbox.Mailbox(
             lambda event: self._handle(event, steadyclock.read())
         )
         self._tickets: dict[str, tickets.Ticket] = {}
         self._links: dict[str, attachment.Attachment] = {}
-        self._owners = owners.Owners(
+        self._owners = owners.OwnerSelector(
             settings.zone, settings.scheduler, shares_limits
         )
         self._claims = claims.ClaimSender(
             settings.zone, self._owners, self._send_any
         )
-        self._blocked = blocked.BlockedContents(
+        self._block_propagator = block_propagator.BlockPropagator(
             blocklist.Blocklist() if blocks is None else blocks,
             self._send_any,
             lambda: list(self._links),
         )
-        self.server_hints = server_hints.HintBook(
+        self.server_hints = server_hints.ServerHintStore(
             self._send_any,
-            lambda: [*self._links, self._local],
+            lambda: [*self._links, self._local_scheduler],
             longest_pause_s,
         )
         self._budget = budget or retry.RetryBudget()
-        self.on_doubt: Callable[[str], None] = _do_nothing
-        self._learner = acceptance.Learner()
+        self.on_silent_owner: Callable[[str], None] = _ignore_owner
+        self._learner = acceptance.BundleTracker()
         self._has_work = anyio.Event()
-        self._tasks: anyio.abc.TaskGroup | None = None
-        self._lag = lag.TickLag(TICK_S)
+        self._task_group: anyio.abc.TaskGroup | None = None
+        self._lag = lag.TickLag(TICK_INTERVAL_S)
 
     @property
     def in_force(self) -> acceptance.InForce | None:
         """The bundle in force, if any."""
-        return self.network.in_force
+        return self.backends.in_force
 
     @property
     def request_count(self) -> int:
-        """How many requests have not ended."""
+        """Number of requests that have not ended."""
         return len(self._tickets)
 
-    def may_repeat(self, ticket: tickets.Ticket) -> bool:
+    def may_retry(self, ticket: tickets.Ticket) -> bool:
         """Returns whether another attempt of a request would be allowed now."""
         machine = ticket.machine
         now = steadyclock.read()
         return (
             now < ticket.deadline
             and machine.dispatches < machine.info.max_attempts
-            and self._budget.has_left(machine.info.shard.service, now)
+            and self._budget.has_attempts_left(machine.info.shard.service, now)
         )
 
     def submit(
-        self, info: message.RequestInfo, wish: tickets.ClaimWish | None
+        self,
+        info: message.RequestInfo,
+        claim_request: tickets.ClaimRequest | None,
     ) -> tickets.Ticket:
-        """Takes a new request; its effects arrive on the ticket."""
-        ticket = tickets.Ticket(info, wish, self._mailbox.post)
+        """Submits a new request; its effects arrive on the returned ticket."""
+        ticket = tickets.Ticket(info, claim_request, self._mailbox.post)
         ticket.report(tickets.Submitted(ticket))
         return ticket
 
     async def run(self) -> None:
         """Handles events until cancelled."""
         async with anyio.create_task_group() as tasks:
-            self._tasks = tasks
-            self._get_link(self._local)
+            self._task_group = tasks
+            self._get_link(self._local_scheduler)
             tasks.start_soon(self._run_ticks)
             await self._mailbox.run()
 
     async def _run_ticks(self) -> None:
         while True:
             if not self._tickets:
-                # An idle entry is not woken: there may be many on a machine.
+                # Avoids wake-ups while idle: one machine may run many entries.
                 self._has_work = anyio.Event()
                 await self._has_work.wait()
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(TICK_INTERVAL_S)
             self.tick(steadyclock.read())
 
     def _handle(self, event: tickets.Event, now: float) -> None:
         match event:
             case tickets.Submitted(ticket):
-                self._begin(ticket, now)
-            case attachment.Up(address):
-                self._sync(address, now)
-            case attachment.Down(address):
-                self._lose_link(address, now)
-            case attachment.Said(address, body):
-                self._receive(address, body, now)
+                self._start_request(ticket, now)
+            case attachment.LinkOpened(address):
+                self._resync(address, now)
+            case attachment.LinkClosed(address):
+                self._handle_link_closed(address, now)
+            case attachment.MessageReceived(address, body):
+                self._handle_message(address, body, now)
             case _:
                 self._handle_exchange(event, now)
 
@@ -187,38 +191,40 @@
         match event:
             case tickets.ConnectFailed(_, refused):
                 if not refused:
-                    self.network.note_silent(machine.backend, now)
+                    self.backends.record_connect_failure(machine.backend, now)
                 machine.info = self._get_info(ticket, now)
-                self._perform(ticket, machine.fail_connect(refused), now)
+                self._apply_effects(ticket, machine.fail_connect(refused), now)
             case tickets.GrantUnusable(_, reason):
                 self._return_grant(ticket, reason, now)
-            case tickets.Begun(first):
-                self.network.note_answer(machine.backend, now)
+            case tickets.FirstTokenReceived(first):
+                self.backends.record_answer(machine.backend, now)
                 if machine.owner:
-                    self._send(machine.owner, self._lag.exclude(first))
+                    self._send(machine.owner, self._lag.exclude_lag(first))
                 self.timeline.note(
                     "first_token",
                     first.request_id,
                     elapsed_s=round(first.elapsed_s, 4),
                 )
             case tickets.Completed(ended, status):
-                if ticket.wish:
+                if ticket.claim_request:
                     self._claims.finish(ticket, status)
-                self._perform(ticket, machine.complete(ended), now)
+                self._apply_effects(ticket, machine.complete(ended), now)
             case tickets.Refused(ended):
-                self._perform(ticket, machine.refuse(ended), now)
+                self._apply_effects(ticket, machine.end_refused(ended), now)
             case tickets.AttemptFailed():
                 self._end_attempt(ticket, event, now)
-            case tickets.Lost(ended, reason):
-                self._perform(ticket, machine.lose(reason, ended), now)
-            case tickets.Abandoned(ended):
-                self._perform(ticket, machine.abandon(ended), now)
+            case tickets.AnswerLost(ended, reason):
+                self._apply_effects(
+                    ticket, machine.end_unknown(reason, ended), now
+                )
+            case tickets.CallerDisconnected(ended):
+                self._apply_effects(ticket, machine.cancel(ended), now)
 
     def _get_info(
         self, ticket: tickets.Ticket, now: float
     ) -> message.RequestInfo:
-        """Returns a request's facts as they are now."""
-        return ticket.get_info(now, self.network.list_avoided(now))
+        """Returns a request's info with its remaining times and exclusions."""
+        return ticket.get_info(now, self.backends.list_unreachable(now))
 
     def _return_grant(
         self,
@@ -226,7 +232,7 @@
         reason: server_hints.UnusableReason,
         now: float,
     ) -> None:
-        """Returns a grant whose server wants nothing from this VM."""
+        """Returns a grant whose server accepts no requests from this VM."""
         machine = ticket.machine
         backend = machine.backend
         machine.info = self._get_info(ticket, now)
@@ -234,7 +240,8 @@
         if backend is None or not effects:
             return
         if machine.owner:
-            # Ahead of the returned grant: else it would be granted again.
+            # Sent before the grant is returned; otherwise the owner would grant
+            # the same server again.
             self.server_hints.send_one(machine.owner, backend, now)
         self.timeline.note(
             "grant_returned",
@@ -243,30 +250,30 @@
             owner=machine.owner,
             reason=reason.value,
         )
-        self._perform(ticket, effects, now)
+        self._apply_effects(ticket, effects, now)
 
     def _end_attempt(
         self, ticket: tickets.Ticket, event: tickets.AttemptFailed, now: float
     ) -> None:
-        """Lets a request go on elsewhere, as far as the budget allows it."""
+        """Retries a request elsewhere if its limits and the budget allow it."""
         info = ticket.machine.info
-        wanted = (
+        may_run_again = (
             now < ticket.deadline
             and (event.not_run or info.repeatable)
-            and not self._blocked.get_left(info.content, now)
+            and not self._block_propagator.get_remaining_s(info.content, now)
         )
-        may_repeat = (
-            wanted
+        may_retry = (
+            may_run_again
             and ticket.machine.dispatches < info.max_attempts
-            and self._budget.take(info.shard.service, now)
+            and self._budget.try_take(info.shard.service, now)
         )
         finish = request.Finish(
-            message.Outcome.UNKNOWN, event.reason, ATTEMPT_RETRY_S
+            message.Outcome.UNKNOWN, event.reason, ATTEMPT_RETRY_AFTER_S
         )
         backend = ticket.machine.backend
         ticket.machine.info = self._get_info(ticket, now)
         effects = ticket.machine.fail_attempt(
-            event.ended, event.not_run, may_repeat, finish
+            event.ended, event.not_run, may_retry, finish
         )
         self.timeline.note(
             "attempt_failed",
@@ -275,13 +282,13 @@
             attempts=ticket.machine.dispatches,
             not_run=event.not_run,
             reason=event.reason.value,
-            repeated=may_repeat,
+            repeated=may_retry,
             content=info.content or None,
             **(msgspec.to_builtins(event.fault) if event.fault else {}),
         )
-        self._perform(ticket, effects, now)
+        self._apply_effects(ticket, effects, now)
 
-    def _begin(self, ticket: tickets.Ticket, now: float) -> None:
+    def _start_request(self, ticket: tickets.Ticket, now: float) -> None:
         info = ticket.info
         self._tickets[info.request_id] = ticket
         self._has_work.set()
@@ -298,43 +305,50 @@
             content=info.content or None,
             generation=self.in_force.generation if self.in_force else None,
         )
-        if left_s := self._blocked.get_left(info.content, now):
-            self._refuse_blocked(ticket, left_s, now)
+        if remaining_s := self._block_propagator.get_remaining_s(
+            info.content, now
+        ):
+            self._reject_blocked(ticket, remaining_s, now)
             return
-        if ticket.wish:
+        if ticket.claim_request:
             self._claims.send(ticket)
         self._assign(ticket, now)
 
-    def _refuse_blocked(
-        self, ticket: tickets.Ticket, left_s: float, now: float
+    def _reject_blocked(
+        self, ticket: tickets.Ticket, remaining_s: float, now: float
     ) -> None:
-        effects = ticket.machine.give_up(message.Reason.BLOCKED, left_s)
-        self._perform(ticket, effects, now)
+        effects = ticket.machine.reject(message.Reason.BLOCKED, remaining_s)
+        self._apply_effects(ticket, effects, now)
 
     def _assign(self, ticket: tickets.Ticket, now: float) -> None:
-        """Finds the request's owner and asks it, or notes there is none."""
+        """Finds the request's owner and sends it the request.
+
+        Records since when there is no owner if none is found.
+        """
         shard = ticket.machine.info.shard
-        if shard.zone != self._zone and not self._owners.reaches(shard.zone):
+        if shard.zone != self._zone and not self._owners.is_zone_reachable(
+            shard.zone
+        ):
             # Fall back to the local zone.
             shard = msgspec.structs.replace(shard, zone=self._zone)
             ticket.machine.info = msgspec.structs.replace(
                 ticket.machine.info, shard=shard
             )
-        owner = self._owners.find(shard, now)
+        owner = self._owners.find_owner(shard, now)
         if owner is None:
-            ticket.down_since = ticket.down_since or now
+            ticket.no_owner_since = ticket.no_owner_since or now
             return
-        ticket.down_since = None
+        ticket.no_owner_since = None
         if owner == ticket.machine.owner:
             return
-        dispatched = ticket.dispatched
-        elapsed = now - dispatched if dispatched is not None else 0.0
+        dispatched = ticket.dispatched_at
+        running_s = now - dispatched if dispatched is not None else 0.0
         effects = ticket.machine.assign(
-            owner, self._get_info(ticket, now), elapsed
+            owner, self._get_info(ticket, now), running_s
         )
-        self._perform(ticket, effects, now)
+        self._apply_effects(ticket, effects, now)
 
-    def _perform(
+    def _apply_effects(
         self,
         ticket: tickets.Ticket,
         effects: Iterable[request.Effect],
@@ -342,21 +356,21 @@
     ) -> None:
         for effect in effects:
             match effect:
-                case request.Tell(owner, sent):
+                case request.SendToOwner(owner, sent):
                     if isinstance(sent, message.Enqueue):
-                        ticket.asked_at = now
+                        ticket.enqueued_at = now
                         ticket.awaiting_reply = True
                     self._send(owner, sent)
                 case request.Dispatch(grant):
-                    ticket.dispatched = now
+                    ticket.dispatched_at = now
                     self.timeline.note(
                         "dispatch",
                         grant.request_id,
                         backend=grant.backend,
                         owner=grant.owner,
-                        age_s=round(now - ticket.began, 4),
+                        age_s=round(now - ticket.started_at, 4),
                     )
-                    ticket.perform(effect)
+                    ticket.send_effect(effect)
                 case request.Finish(outcome, reason):
                     self._tickets.pop(ticket.info.request_id, None)
                     self.timeline.note(
@@ -366,68 +380,66 @@
                         reason=reason.value if reason else None,
                         owner=ticket.machine.owner,
                         attempts=ticket.machine.dispatches,
-                        age_s=round(now - ticket.began, 4),
+                        age_s=round(now - ticket.started_at, 4),
                     )
-                    ticket.perform(effect)
+                    ticket.send_effect(effect)
                 case request.Release():
                     self._claims.release(ticket)
                 case request.Cancel():
-                    pass  # The exchange cancels the stream it owns.
+                    pass  # The exchange cancels its own stream.
 
-    def _decide_claim(
+    def _handle_claim_decision(
         self, decision: peer_message.ClaimDecision, now: float
     ) -> None:
         ticket = self._tickets.get(decision.attempt)
         if ticket is None:
             return
-        verdict = claim.Verdict(decision.verdict)
-        held = verdict is claim.Verdict.HELD
-        finish = None if held else claim.make_finish(verdict)
+        status = claim.ClaimStatus(decision.verdict)
+        held = status is claim.ClaimStatus.HELD
+        finish = None if held else claim.make_finish(status)
         effects = ticket.machine.decide_claim(held, finish)
-        self._perform(ticket, effects, now)
-
-    # Schedulers.
+        self._apply_effects(ticket, effects, now)
 
-    def _receive(self, address: str, body: object, now: float) -> None:
-        self._owners.note_message(address, now)
+    def _handle_message(self, address: str, body: object, now: float) -> None:
+        self._owners.record_message(address, now)
         match body:
             case message.Grant(request_id):
-                self._note_answer(address, request_id, now)
-                self._take_grant(body, request_id, now)
+                self._record_reply(address, request_id, now)
+                self._handle_grant(body, request_id, now)
             case message.Reject(request_id):
-                self._note_answer(address, request_id, now)
+                self._record_reply(address, request_id, now)
                 if ticket := self._tickets.get(request_id):
                     effects = ticket.machine.receive_reject(body, address)
-                    self._perform(ticket, effects, now)
+                    self._apply_effects(ticket, effects, now)
             case message.Queued(request_id):
-                self._note_answer(address, request_id, now)
+                self._record_reply(address, request_id, now)
             case message.StillWaiting():
-                pass  # It only shows that the owner is alive.
+                pass  # A keep-alive message of the owner.
             case message.Redirect(request_id):
-                self._redirect(address, body, now)
+                self._handle_redirect(address, body, now)
             case peer_message.AskTimeline(after, subject, number):
                 events = self.timeline.list_events(after, subject)
                 answer = peer_message.TimelineEvents(events, number)
                 self._send_any(address, answer)
             case peer_message.ClaimDecision():
-                self._decide_claim(body, now)
+                self._handle_claim_decision(body, now)
             case peer_message.BlockedContents():
-                self._blocked.take(address, body)
-            case peer_message.View() if address == self._local:
-                self._take_view(body, now)
+                self._block_propagator.merge(address, body)
+            case peer_message.View() if address == self._local_scheduler:
+                self._apply_view(body, now)
             case peer_message.BundleUpdate(envelope):
-                self._take_bundle(address, envelope)
+                self._apply_bundle(address, envelope)
 
-    def _note_answer(self, address: str, request_id: str, now: float) -> None:
-        """Takes the first reply of a scheduler on a request."""
+    def _record_reply(self, address: str, request_id: str, now: float) -> None:
+        """Records the response time of a scheduler's first reply."""
         ticket = self._tickets.get(request_id)
         if ticket is None or not ticket.awaiting_reply:
             return
         if ticket.machine.owner == address:
             ticket.awaiting_reply = False
-            self._owners.note_answer(address, now - ticket.asked_at)
+            self._owners.record_reply(address, now - ticket.enqueued_at)
 
-    def _take_grant(
+    def _handle_grant(
         self, grant: message.Grant, request_id: str, now: float
     ) -> None:
         ticket = self._tickets.get(request_id)
@@ -435,14 +447,14 @@
             decline = message.Decline(request_id, grant.grant_id)
             self._send(grant.owner, decline)
             return
-        self._perform(ticket, ticket.machine.receive_grant(grant), now)
-        if grant.speed is not None and grant.owner != self._local:
+        self._apply_effects(ticket, ticket.machine.receive_grant(grant), now)
+        if grant.speed is not None and grant.owner != self._local_scheduler:
             learned = message.SpeedLearned(
                 grant.backend, grant.speed, grant.run
             )
-            self._send(self._local, learned)
+            self._send(self._local_scheduler, learned)
 
-    def _redirect(
+    def _handle_redirect(
         self, address: str, redirect: message.Redirect, now: float
     ) -> None:
         ticket = self._tickets.get(redirect.request_id)
@@ -458,36 +470,36 @@
         )
         self.timeline.note("redirect", info.request_id, zone=redirect.zone)
         effects = ticket.machine.assign(redirect.owner, info)
-        self._perform(ticket, effects, now)
+        self._apply_effects(ticket, effects, now)
 
-    def _take_view(self, view: peer_message.View, now: float) -> None:
-        known = self._owners.take_view(view)
-        self.network.take_view(view)
-        for address in set(self._links) - known - {self._local}:
+    def _apply_view(self, view: peer_message.View, now: float) -> None:
+        addresses = self._owners.apply_view(view)
+        self.backends.apply_view(view)
+        for address in set(self._links) - addresses - {self._local_scheduler}:
             self._links.pop(address).stop()
-            self._owners.forget(address)
+            self._owners.remove(address)
         self._open_owner_links(now)
         self._reassign_all(now)
 
     def _open_owner_links(self, now: float) -> None:
         """Opens the links to owners before the first request needs them.
 
-        Else all entries would attach in the same moment, and take the owner
-        for lost while it attaches the others.
+        Otherwise all entries would attach to an owner at the same moment, and
+        its replies would time out while it attaches the others.
         """
         if self.in_force is None:
             return
         for name, service in self.in_force.bundle.services.items():
             for number in range(service.shards):
                 key = message.ShardKey(self._zone, name, number)
-                owner = self._owners.find(key, now)
+                owner = self._owners.find_owner(key, now)
                 if owner is not None:
                     self._open_link(owner)
 
-    def _take_bundle(self, address: str, envelope: signature.Envelope) -> None:
-        if self._learner.learn(envelope):
+    def _apply_bundle(self, address: str, envelope: signature.Envelope) -> None:
+        if self._learner.apply_peer_bundle(envelope):
             assert self._learner.in_force is not None
-            self.network.take_in_force(self._learner.in_force)
+            self.backends.apply_bundle(self._learner.in_force)
             generation = self._learner.in_force.generation
             self.timeline.note("bundle", f"generation-{generation}")
             LOG.info("bundle in force", extra={"generation": generation})
@@ -495,8 +507,6 @@
             report = peer_message.InForceReport(self.in_force.generation)
             self._send_any(address, report)
 
-    # Links.
-
     def _send(self, owner: str, sent: message.EntryMessage) -> None:
         self._send_any(owner, sent)
 
@@ -515,13 +525,13 @@
             address, hello, self._client, self._mailbox.post
         )
         self._links[address] = owner_link
-        assert self._tasks is not None
-        self._tasks.start_soon(owner_link.run)
+        assert self._task_group is not None
+        self._task_group.start_soon(owner_link.run)
 
-    def _sync(self, address: str, now: float) -> None:
-        """Sends a scheduler all that waits or runs with it."""
-        self._owners.note_up(address)
-        self._blocked.tell_all(address, now)
+    def _resync(self, address: str, now: float) -> None:
+        """Sends a scheduler its requests, the blocks and the server hints."""
+        self._owners.mark_up(address)
+        self._block_propagator.send_all(address, now)
         self.server_hints.send_all(address, now)
         for ticket in self._tickets.values():
             if ticket.machine.owner == address:
@@ -534,20 +544,21 @@
     def _resend(self, ticket: tickets.Ticket, now: float) -> None:
         owner = ticket.machine.owner
         assert owner is not None
-        since = ticket.dispatched
+        since = ticket.dispatched_at
         effects = ticket.machine.assign(
             owner, self._get_info(ticket, now), now - since if since else 0.0
         )
-        self._perform(ticket, effects, now)
+        self._apply_effects(ticket, effects, now)
 
-    def _lose_link(self, address: str, now: float) -> None:
-        self._owners.note_down(address)
+    def _handle_link_closed(self, address: str, now: float) -> None:
+        self._owners.mark_down(address)
         self._reassign_all(now)
 
     def _reassign_all(self, now: float) -> None:
         for ticket in list(self._tickets.values()):
             owner = ticket.machine.owner
-            # A request sent on to another zone stays there while it can.
+            # A request redirected to another zone stays there while the link to
+            # its owner is open.
             spilled = bool(ticket.machine.info.spilled_from)
             if spilled and owner and not self._owners.is_down(owner):
                 continue
@@ -556,40 +567,41 @@
             if ticket.machine.claim is request.Claim.PENDING:
                 self._claims.send(ticket)
 
-    def _suspect_silent_owners(self, now: float) -> None:
-        """Moves waiting requests away from owners that do not reply."""
-        silent = {
+    def _back_off_silent_owners(self, now: float) -> None:
+        """Reassigns the waiting requests of owners that do not reply."""
+        silent_owners = {
             ticket.machine.owner
             for ticket in self._tickets.values()
             if ticket.machine.state is request.State.WAITING
             and ticket.machine.owner is not None
-            and patience.is_silent(
+            and timeouts.is_owner_silent(
                 ticket, self._owners, ticket.machine.owner, now
             )
         }
-        doubted = [
+        backed_off = [
             owner
-            for owner in silent
-            if owner is not None and self._owners.doubt(owner, now)
+            for owner in silent_owners
+            if owner is not None and self._owners.back_off(owner, now)
         ]
-        for owner in doubted:
-            self.on_doubt(owner)
-            # Its whole zone may be cut off; opening a connection shows it.
+        for owner in backed_off:
+            self.on_silent_owner(owner)
+            # Its whole zone may be partitioned off; new connections to the
+            # backend servers there will show it.
             zone = self._owners.get_availability_zone(owner)
-            self.network.distrust_zone(zone)
-        if doubted:
+            self.backends.reset_zone_connections(zone)
+        if backed_off:
             self._reassign_all(now)
 
     def tick(self, now: float) -> None:
-        """Ends the requests that cannot or may not be served any more."""
+        """Backs off silent owners and rejects requests that timed out."""
         if not self._lag.observe(now):
-            self._suspect_silent_owners(now)
+            self._back_off_silent_owners(now)
         for ticket in list(self._tickets.values()):
-            reason = patience.find_give_up_reason(ticket, now)
+            reason = timeouts.find_timeout_reason(ticket, now)
             if reason is not None:
-                effects = ticket.machine.give_up(reason, RETRY_AFTER_S)
-                self._perform(ticket, effects, now)
+                effects = ticket.machine.reject(reason, RETRY_AFTER_S)
+                self._apply_effects(ticket, effects, now)
 
 
-def _do_nothing(address: str) -> None:
-    """Default of callbacks."""
+def _ignore_owner(address: str) -> None:
+    """Default of ``on_silent_owner``."""
--- a/ramptray/load/main.py
+++ b/ramptray/load/main.py
@@ -1,4 +1,4 @@
-"""``ramptray-load``: seeded load against running entries, with a report."""
+"""``ramptray-load``: sends seeded load to entries and reports results."""
 
 from __future__ import annotations
 
@@ -14,53 +14,55 @@
 
 import ramptray
 from ramptray import process, steadyclock
-from ramptray.bundle import text
-from ramptray.load import plan, report, shooter
+from ramptray.bundle import parsing
+from ramptray.load import plan, report, sender
 
-PROGRESS_S = 1.0
+PROGRESS_INTERVAL_S = 1.0
 
 
 async def run_load(
     settings: plan.LoadSettings, show: Callable[[str], None]
-) -> list[shooter.Hit]:
-    """Sends the whole schedule and returns what became of each request.
+) -> list[sender.RequestResult]:
+    """Sends all scheduled requests and returns their results.
 
     Args:
-        settings: What to send, and where.
-        show: Shows a line of progress.
+        settings: Settings of the load.
+        show: Called with each line of progress.
     """
     schedule = plan.make_schedule(settings)
-    hits: list[shooter.Hit] = []
-    gun = shooter.Shooter(settings)
-    began = steadyclock.read()
+    results: list[sender.RequestResult] = []
+    load_sender = sender.LoadSender(settings)
+    started_at = steadyclock.read()
 
-    async def send(shot: plan.Shot) -> None:
-        hits.append(await gun.shoot(shot, steadyclock.read() - began))
+    async def send(request: plan.ScheduledRequest) -> None:
+        results.append(
+            await load_sender.send(request, steadyclock.read() - started_at)
+        )
 
     async def show_progress() -> None:
         while True:
-            await anyio.sleep(PROGRESS_S)
-            useful = sum(hit.useful for hit in hits)
-            spent = steadyclock.read() - began
+            await anyio.sleep(PROGRESS_INTERVAL_S)
+            useful = sum(result.useful for result in results)
+            elapsed_s = steadyclock.read() - started_at
             show(
-                f"{spent:5.0f} s  {len(hits)}/{len(schedule)} ended, "
+                f"{elapsed_s:5.0f} s  {len(results)}/{len(schedule)} ended, "
                 f"{useful} useful"
             )
 
     async with anyio.create_task_group() as progress:
         progress.start_soon(show_progress)
         async with anyio.create_task_group() as tasks:
-            for shot in schedule:
-                wait_s = shot.at_s - (steadyclock.read() - began)
+            for request in schedule:
+                wait_s = request.at_s - (steadyclock.read() - started_at)
                 if wait_s > 0:
                     await anyio.sleep(wait_s)
-                tasks.start_soon(send, shot)
+                tasks.start_soon(send, request)
         progress.cancel_scope.cancel()
-    return hits
+    return results
 
 
 async def read_ledgers(urls: list[str]) -> list[dict[str, Any]]:
-    """Returns the ledgers of the engine stand-ins that can be reached."""
+    """Fetches the ledgers of all reachable engine stand-ins."""
     ledgers: list[dict[str, Any]] = []
     async with httpcore.AsyncConnectionPool() as pool:
         for url in urls:
@@ -72,11 +74,13 @@
     return ledgers
 
 
-def write_record(path: pathlib.Path, hits: list[shooter.Hit]) -> None:
-    """Writes each request's end as a JSON line."""
+def write_record(
+    path: pathlib.Path, results: list[sender.RequestResult]
+) -> None:
+    """Writes the result of each request as a JSON line."""
     with path.open("wb") as file:
-        for hit in hits:
-            fields = {**msgspec.to_builtins(hit), "useful": hit.useful}
+        for result in results:
+            fields = {**msgspec.to_builtins(result), "useful": result.useful}
             fields.pop("gaps")
             file.write(msgspec.json.encode(fields) + b"\n")
 
@@ -88,41 +92,41 @@
     "settings_file",
     type=click.Path(path_type=pathlib.Path),
     required=True,
-    help="What to send, and where, in JSON with comments.",
+    help="Settings of the load, in JSON with comments.",
 )
 @click.option("--json", "as_json", is_flag=True, help="End with JSON.")
 @click.option(
     "--record",
     type=click.Path(path_type=pathlib.Path),
-    help="Write each request's end to this file as a JSON line.",
+    help="Write each request's result to this file as a JSON line.",
 )
 def run(
     settings_file: pathlib.Path, as_json: bool, record: pathlib.Path | None
 ) -> None:
-    """Sends seeded load to running entries and reports what callers got.
+    """Sends seeded load to running entries and reports the results.
 
-    Exit codes: 0 when all was sent, 1 if an answer was wrong, 2 for a mistake
-    in the settings or arguments.
+    Exit codes: 0 if all requests were sent, 1 if an answer was wrong, 2 if
+    the settings or arguments are invalid.
     """
     try:
-        settings = text.read_model(settings_file, plan.LoadSettings)
-    except text.TextError as error:
+        settings = parsing.read_model(settings_file, plan.LoadSettings)
+    except parsing.InvalidFileError as error:
         click.echo(str(error), err=True)
-        sys.exit(process.EXIT_MISTAKE)
+        sys.exit(process.EXIT_INVALID_INPUT)
 
     def show(line: str) -> None:
         click.echo(line, err=True)
 
-    async def main() -> tuple[list[shooter.Hit], list[dict[str, Any]]]:
+    async def main() -> tuple[list[sender.RequestResult], list[dict[str, Any]]]:
         found = await run_load(
             settings, lambda line: click.echo(line, err=True)
         )
         return found, await read_ledgers(settings.engines)
 
-    hits, ledgers = anyio.run(main)
+    results, ledgers = anyio.run(main)
     if record is not None:
-        write_record(record, hits)
-    reports = report.sum_up(hits)
+        write_record(record, results)
+    reports = report.summarize_tiers(results)
     summary = report.summarize(reports, ledgers)
     click.echo(report.format_table(reports))
     click.echo(f"wasted prefill: {summary['wasted_prefill_share']:.2%}")
--- a/ramptray/peer/link.py
+++ b/ramptray/peer/link.py
@@ -1,7 +1,7 @@
 """The gRPC channel between ramptray's processes.
 
-``Attach`` is a stream in both directions, kept open between an entry (or a
-controller) and a scheduler.  ``Ask`` is one question with one answer.
+``Attach`` is a bidirectional stream that stays open between an entry (or a
+controller) and a scheduler.  ``Ask`` is a unary call.
 """
 
 from __future__ import annotations
@@ -24,22 +24,23 @@
 
 from ramptray import settings, steadyclock
 from ramptray.core import clock
-from ramptray.peer import codec, credentials, gate
+from ramptray.peer import codec, credentials, peer_filter
 
 LOG = logging.getLogger(__name__)
 
 SERVICE = "ramptray.Peer"
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-IDLE_S = 15.0
-"""How long a channel is kept on which nothing is asked, in seconds: neighbours
-are probed every four seconds, and the others of hundreds only by chance.  A
-connection to each would cost descriptors and memory on either side."""
+IDLE_TIMEOUT_S = 15.0
+"""Time after which an idle channel for unary calls is closed, in seconds.
+Neighbours are probed every four seconds, but the others of hundreds of VMs only
+at random: a connection to each would cost descriptors and memory on both
+sides."""
 
-FRAME_MESSAGES = 64
-"""Messages of one frame at most."""
+MAX_FRAME_MESSAGES = 64
+"""Limit of messages in one frame."""
 
-QUEUE_FRAMES = 10_000
-"""Messages that may wait for a slow peer before its link is cut."""
+MAX_QUEUED_MESSAGES = 10_000
+"""Limit of messages queued for a slow peer; beyond it the link is closed."""
 
 OPTIONS = [
     ("grpc.max_receive_message_length", MAX_FRAME_BYTES),
@@ -57,33 +58,35 @@
     ("grpc.enable_http_proxy", 0),
     ("grpc.use_local_subchannel_pool", 1),
 ]
-"""How channels are kept: both ends find a silent peer within 2.5 s."""
+"""Channel options; both ends detect an unresponsive peer within 2.5 s."""
 
 
-BROKEN = (
+CONNECTION_ERRORS = (
     grpc.aio.AioRpcError,
     grpc.aio.UsageError,
     grpc.RpcError,
-    # Raised by a write on a stream that has ended a moment before.
+    # Raised by a write to a stream that has just ended.
     asyncio.InvalidStateError,
 )
-"""What the library raises when a peer has gone, in one way or another."""
+"""Errors that grpc raises when the connection to a peer is lost."""
 
 
 class LinkError(Exception):
-    """A peer cannot be reached, or the link to it broke."""
+    """A peer cannot be reached, or the link to it is broken."""
 
 
 class Session:
-    """One attached peer, as the serving side sees it."""
+    """The serving side's session with one attached peer."""
 
     def __init__(self) -> None:
-        send, receive = anyio.create_memory_object_stream[Any](QUEUE_FRAMES)
+        send, receive = anyio.create_memory_object_stream[Any](
+            MAX_QUEUED_MESSAGES
+        )
         self._send = send
         self.outgoing: memory.MemoryObjectReceiveStream[Any] = receive
 
     def send(self, body: Any) -> None:
-        """Queues a message; a peer that does not read loses its link."""
+        """Queues a message; closes the session if the queue is full."""
         with contextlib.suppress(
             anyio.ClosedResourceError, anyio.BrokenResourceError
         ):
@@ -97,34 +100,34 @@
         self._send.close()
 
 
-class Servant(abc.ABC):
-    """What a serving process does with its peers' messages."""
+class Handler(abc.ABC):
+    """Handles the messages of a serving process's peers."""
 
     @abc.abstractmethod
     async def open(self, session: Session) -> None:
-        """A peer has attached."""
+        """Called when a peer has attached."""
 
     @abc.abstractmethod
     async def receive(self, session: Session, body: Any) -> None:
-        """An attached peer has sent a message."""
+        """Called with each message of an attached peer."""
 
     @abc.abstractmethod
     async def close(self, session: Session) -> None:
-        """An attached peer has gone."""
+        """Called when an attached peer is gone."""
 
     @abc.abstractmethod
-    async def answer(self, question: Any) -> Any:
-        """Returns the answer to one question."""
+    async def answer(self, request: Any) -> Any:
+        """Returns the response to a unary call."""
 
 
-class _Shared(msgspec.Struct):
-    """The channel that all questions to one peer share.
+class _SharedChannel(msgspec.Struct):
+    """The channel that all unary calls to one peer share.
 
     Attributes:
         channel: The channel.
-        ask: Sends a question on it.
-        underway: Questions that wait for their answer.
-        used_at: When the last one ended.
+        ask: Sends a request on it.
+        underway: Number of pending calls.
+        used_at: When the last call ended.
     """
 
     channel: grpc.aio.Channel
@@ -134,7 +137,7 @@
 
     @contextlib.contextmanager
     def use(self) -> Iterator[None]:
-        """Counts a question while it is underway."""
+        """Counts a call while it is pending."""
         self.underway += 1
         try:
             yield
@@ -144,66 +147,75 @@
 
 
 class PeerClient:
-    """Opens links to serving peers; questions share a channel an address."""
+    """Calls peers and opens links; unary calls to a peer share a channel.
+
+    Args:
+        hybrid_clock: This process's clock.
+        tls: Settings for mutual TLS; None for plain connections.
+        allowed_peers: Decides which peers can be reached; all by default.
+
+    Attributes:
+        asked_bytes: Bytes sent and received by unary calls.
+    """
 
     def __init__(
         self,
         hybrid_clock: clock.HybridClock,
         tls: settings.TlsSettings | None,
-        opened_gate: gate.Gate | None = None,
+        allowed_peers: peer_filter.PeerFilter | None = None,
     ) -> None:
         self._clock = hybrid_clock
         self._tls = tls
-        self._gate = opened_gate or gate.OpenGate()
-        self._channels: dict[str, _Shared] = {}
-        self._servants: dict[str, Servant] = {}
+        self._allowed_peers = allowed_peers or peer_filter.AllowAllPeers()
+        self._channels: dict[str, _SharedChannel] = {}
+        self._handlers: dict[str, Handler] = {}
         self.asked_bytes = 0
 
-    def serve_locally(self, address: str, servant: Servant) -> None:
-        """Attaches to this address without a socket: it is this process."""
-        self._servants[address] = servant
+    def serve_locally(self, address: str, handler: Handler) -> None:
+        """Makes links to this process's address call its handler directly."""
+        self._handlers[address] = handler
 
-    async def ask(self, address: str, question: Any, timeout_s: float) -> Any:
-        """Returns the peer's answer.
+    async def ask(self, address: str, request: Any, timeout_s: float) -> Any:
+        """Returns a peer's response to a request.
 
         Raises:
-            LinkError: There was no answer in time.
+            LinkError: There was no valid response in time.
         """
-        _check(address, self._gate)
-        shared = self._share_channel(address)
-        data = codec.encode(self._clock.tick(), question)
+        _check_allowed(address, self._allowed_peers)
+        shared = self._get_channel(address)
+        data = codec.encode(self._clock.tick(), request)
         try:
             with shared.use():
-                async with _turn_cancellation(address):
-                    answer = await shared.ask(data, timeout=timeout_s)
-            self.asked_bytes += len(data) + len(answer)
-            frame = codec.decode(answer)
+                async with _translate_cancellation(address):
+                    response = await shared.ask(data, timeout=timeout_s)
+            self.asked_bytes += len(data) + len(response)
+            frame = codec.decode(response)
             body = frame.body
-        except (*BROKEN, codec.CodecError) as error:
+        except (*CONNECTION_ERRORS, codec.CodecError) as error:
             raise LinkError(f"{address}: {_describe(error)}") from error
         self._clock.witness(frame.clock)
         return body
 
     @contextlib.asynccontextmanager
-    async def attach(self, address: str) -> AsyncIterator[AnyLink]:
-        """Opens a link; it is cut when the context ends.
+    async def attach(self, address: str) -> AsyncIterator[Link]:
+        """Opens a link, which is closed when the context ends.
 
         Raises:
             LinkError: The peer cannot be reached.
         """
-        if address in self._servants:
+        if address in self._handlers:
             async with _attach_locally(
-                address, self._servants[address]
+                address, self._handlers[address]
             ) as opened:
                 yield opened
             return
-        # A channel of its own: closing it must not end another link's calls.
+        # A separate channel, as closing one ends all calls on it.
         channel = self._open_channel(address)
         try:
             call: Any = channel.stream_stream(f"/{SERVICE}/Attach")(
                 wait_for_ready=False
             )
-            yield Link(address, call, self._clock, self._gate)
+            yield GrpcLink(address, call, self._clock, self._allowed_peers)
         finally:
             with anyio.CancelScope(shield=True):
                 await channel.close()
@@ -216,28 +228,28 @@
 
     @property
     def channel_count(self) -> int:
-        """How many peers there is a channel to for questions."""
+        """Number of open channels for unary calls."""
         return len(self._channels)
 
     async def close_idle(self, now: float) -> None:
-        """Closes channels on which nothing was asked for a while.
+        """Closes channels that were idle for ``IDLE_TIMEOUT_S``.
 
         Args:
-            now: The time, in seconds.
+            now: The current time, in seconds.
         """
         for address, shared in list(self._channels.items()):
-            if not shared.underway and now - shared.used_at > IDLE_S:
-                await self.forget(address)
+            if not shared.underway and now - shared.used_at > IDLE_TIMEOUT_S:
+                await self.close_channel(address)
 
-    async def forget(self, address: str) -> None:
-        """Closes the channel to a peer; the next question opens another."""
+    async def close_channel(self, address: str) -> None:
+        """Closes the channel to a peer; the next call opens another."""
         if shared := self._channels.pop(address, None):
             await shared.channel.close()
 
-    def _share_channel(self, address: str) -> _Shared:
+    def _get_channel(self, address: str) -> _SharedChannel:
         if address not in self._channels:
             channel = self._open_channel(address)
-            self._channels[address] = _Shared(
+            self._channels[address] = _SharedChannel(
                 channel, channel.unary_unary(f"/{SERVICE}/Ask")
             )
         return self._channels[address]
@@ -253,14 +265,14 @@
         )
 
 
-class AnyLink(abc.ABC):
-    """The attaching side of a stream of messages."""
+class Link(abc.ABC):
+    """The attaching side of a message stream."""
 
     address: str
 
     @abc.abstractmethod
     async def send(self, *bodies: Any) -> None:
-        """Sends messages together.
+        """Sends messages in one frame.
 
         Raises:
             LinkError: The link is broken.
@@ -275,42 +287,44 @@
         """
 
 
-class LocalLink(AnyLink):
-    """A link to a servant of the same process."""
+class LocalLink(Link):
+    """A link to a handler in the same process."""
 
-    def __init__(self, address: str, session: Session, servant: Servant):
+    def __init__(self, address: str, session: Session, handler: Handler):
         self.address = address
         self._session = session
-        self._servant = servant
+        self._handler = handler
 
     async def send(self, *bodies: Any) -> None:
         """See the base class."""
         for body in bodies:
-            await self._servant.receive(self._session, body)
+            await self._handler.receive(self._session, body)
 
     async def receive(self) -> Any:
         """See the base class."""
         try:
             return await self._session.outgoing.receive()
         except anyio.EndOfStream as error:
-            raise LinkError(f"{self.address}: the link was ended") from error
+            raise LinkError(
+                f"{self.address}: the session was closed"
+            ) from error
 
 
 @contextlib.asynccontextmanager
 async def _attach_locally(
-    address: str, servant: Servant
+    address: str, handler: Handler
 ) -> AsyncIterator[LocalLink]:
     session = Session()
-    await servant.open(session)
+    await handler.open(session)
     try:
-        yield LocalLink(address, session, servant)
+        yield LocalLink(address, session, handler)
     finally:
         session.close()
         with anyio.CancelScope(shield=True):
-            await servant.close(session)
+            await handler.close(session)
 
 
-class Link(AnyLink):
+class GrpcLink(Link):
     """A link over gRPC."""
 
     def __init__(
@@ -318,22 +332,22 @@
         address: str,
         call: Any,
         hybrid_clock: clock.HybridClock,
-        opened_gate: gate.Gate,
+        allowed_peers: peer_filter.PeerFilter,
     ) -> None:
         self.address = address
         self._call = call
-        self._gate = opened_gate
+        self._allowed_peers = allowed_peers
         self._clock = hybrid_clock
         self._received: collections.deque[Any] = collections.deque()
 
     async def send(self, *bodies: Any) -> None:
         """See the base class."""
-        _check(self.address, self._gate)
+        _check_allowed(self.address, self._allowed_peers)
         data = codec.encode(self._clock.tick(), *bodies)
         try:
-            async with _turn_cancellation(self.address):
+            async with _translate_cancellation(self.address):
                 await self._call.write(data)
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             raise LinkError(f"{self.address}: {_describe(error)}") from error
 
     async def receive(self) -> Any:
@@ -344,13 +358,13 @@
 
     async def _read_frame(self) -> list[Any]:
         try:
-            async with _turn_cancellation(self.address):
+            async with _translate_cancellation(self.address):
                 data = await self._call.read()
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             raise LinkError(f"{self.address}: {_describe(error)}") from error
-        _check(self.address, self._gate)
+        _check_allowed(self.address, self._allowed_peers)
         if data is grpc.aio.EOF:
-            raise LinkError(f"{self.address}: the peer ended the link")
+            raise LinkError(f"{self.address}: the peer closed the link")
         try:
             frame = codec.decode(data)
         except codec.CodecError as error:
@@ -359,39 +373,39 @@
         return frame.bodies
 
 
-def take_waiting(
+def drain_queue(
     first: Any, queue: memory.MemoryObjectReceiveStream[Any]
 ) -> list[Any]:
-    """Returns a message and those that wait behind it, for one frame.
+    """Returns a message and those queued behind it, for one frame.
 
     Load pattern: a request's messages to its owner come in pairs, and an owner
-    answers many requests in one turn.  Each frame costs either side several
-    system calls and a wake-up of a thread.
+    answers many requests at a time.  Each frame costs both sides several system
+    calls and a thread wake-up.
 
     Args:
-        first: The message that was taken from the queue.
-        queue: Where further ones may wait.
+        first: The message already taken from the queue.
+        queue: The queue.
     """
     bodies = [first]
     with contextlib.suppress(anyio.WouldBlock, anyio.EndOfStream):
-        while len(bodies) < FRAME_MESSAGES:
+        while len(bodies) < MAX_FRAME_MESSAGES:
             bodies.append(queue.receive_nowait())
     return bodies
 
 
 @contextlib.asynccontextmanager
-async def _turn_cancellation(address: str) -> AsyncIterator[None]:
-    """Turns a call's own cancellation into an error of the link.
+async def _translate_cancellation(address: str) -> AsyncIterator[None]:
+    """Translates the cancellation of a call into a ``LinkError``.
 
-    grpc raises ``CancelledError`` when a call was cancelled, by whomever.  To
-    the task it looks like its own cancellation, and it would end unnoticed.
-    Where a scope was cancelled, grpc raises another error than the scope's:
-    the scope does not know it, and it would end the tasks beside this one.
+    grpc raises ``CancelledError`` no matter what cancelled the call.  The task
+    would take it for its own cancellation and end silently.  If a scope was
+    cancelled, grpc's error differs from the scope's own: the scope would not
+    recognise it, and the error would cancel the sibling tasks.
     """
     try:
         yield
     except asyncio.CancelledError as error:
-        # Raises the scope's own error, if a scope was cancelled.
+        # Raises the scope's own error if a scope was cancelled.
         await anyio.lowlevel.checkpoint_if_cancelled()
         task = asyncio.current_task()
         if task is not None and task.cancelling():
@@ -399,9 +413,9 @@
         raise LinkError(f"{address}: the call was cancelled") from error
 
 
-def _check(address: str, opened_gate: gate.Gate) -> None:
-    if not opened_gate.allows(address):
-        raise LinkError(f"{address}: cut off")
+def _check_allowed(address: str, allowed_peers: peer_filter.PeerFilter) -> None:
+    if not allowed_peers.allows(address):
+        raise LinkError(f"{address}: blocked by the peer filter")
 
 
 def _describe(error: Exception) -> str:
--- a/ramptray/peer/server.py
+++ b/ramptray/peer/server.py
@@ -1,4 +1,4 @@
-"""The serving side of the channel between ramptray's processes."""
+"""The gRPC server for ramptray's processes."""
 
 from __future__ import annotations
 
@@ -18,24 +18,30 @@
 
 
 class PeerServer:
-    """Serves peers over gRPC."""
+    """Serves peers over gRPC.
+
+    Args:
+        handler: Handles the peers' messages.
+        hybrid_clock: This process's clock.
+        tls: Settings for mutual TLS; None for plain connections.
+    """
 
     def __init__(
         self,
-        servant: link.Servant,
+        handler: link.Handler,
         hybrid_clock: clock.HybridClock,
         tls: settings.TlsSettings | None,
     ) -> None:
-        self._servant = servant
+        self._handler = handler
         self._clock = hybrid_clock
         self._tls = tls
         self._server: grpc.aio.Server | None = None
 
     async def start(self, address: str) -> None:
-        """Starts to serve.
+        """Starts to serve on an address.
 
         Raises:
-            link.LinkError: The address cannot be had.
+            link.LinkError: The address cannot be used.
         """
         self._server = grpc.aio.server(options=link.OPTIONS)
         handlers: dict[str, Any] = {
@@ -59,7 +65,7 @@
         await self._server.start()
 
     async def stop(self, grace_s: float = 0.5) -> None:
-        """Stops serving; open streams end after the grace."""
+        """Stops the server; open streams end after the grace period."""
         if self._server:
             await self._server.stop(grace_s)
 
@@ -69,22 +75,22 @@
         context: grpc.aio.ServicerContext[bytes, bytes],
     ) -> None:
         session = link.Session()
-        await self._servant.open(session)
+        await self._handler.open(session)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._read, session, frames)
                 async for body in session.outgoing:
-                    bodies = link.take_waiting(body, session.outgoing)
+                    bodies = link.drain_queue(body, session.outgoing)
                     await context.write(
                         codec.encode(self._clock.tick(), *bodies)
                     )
                 tasks.cancel_scope.cancel()
-        except* link.BROKEN as group:
+        except* link.CONNECTION_ERRORS as group:
             LOG.info("attached peer lost: %r", group.exceptions[0])
         finally:
             session.close()
             with anyio.CancelScope(shield=True):
-                await self._servant.close(session)
+                await self._handler.close(session)
 
     async def _read(
         self, session: link.Session, frames: AsyncIterator[bytes]
@@ -94,7 +100,7 @@
                 frame = codec.decode(data)
                 self._clock.witness(frame.clock)
                 for body in frame.bodies:
-                    await self._servant.receive(session, body)
+                    await self._handler.receive(session, body)
         finally:
             session.close()
 
@@ -103,9 +109,9 @@
     ) -> bytes:
         try:
             frame = codec.decode(data)
-            question = frame.body
+            request = frame.body
         except codec.CodecError as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
         self._clock.witness(frame.clock)
-        answer = await self._servant.answer(question)
-        return codec.encode(self._clock.tick(), answer)
+        response = await self._handler.answer(request)
+        return codec.encode(self._clock.tick(), response)
--- a/ramptray/platform/topic.py
+++ b/ramptray/platform/topic.py
@@ -1,4 +1,4 @@
-"""Reads one keyed topic of the store."""
+"""Follows one keyed topic of the store."""
 
 from __future__ import annotations
 
@@ -8,52 +8,52 @@
 from ramptray.log import reader as log_reader
 from ramptray.platform import store
 
-TakeChanges = Callable[[store.Changes, bool], None]
+ApplyChanges = Callable[[store.Changes, bool], None]
 
 
 class TopicReader(log_reader.StreamReader[store.Changes]):
-    """Follows one topic: its newest records, then each change as it comes.
+    """Reads the newest record of each key of a topic, then each change.
 
     Args:
-        opened: The store.
+        client: Client of the store.
         topic: The topic's name.
-        take_changes: Called with what was read, and whether that is all there
-            is.
-        on_trouble: Called each time that the store does not answer.
+        apply_changes: Called with the changes read, and whether they are a
+            snapshot of the whole topic.
+        on_outage: Called each time that the store does not respond.
 
     Attributes:
-        mirror: What is held of the topic, for other VMs.
+        mirror: Copy of the topic, from which other VMs are served.
     """
 
     def __init__(
         self,
-        opened: store.Store,
+        client: store.Store,
         topic: str,
-        take_changes: TakeChanges,
-        on_trouble: Callable[[], None],
+        apply_changes: ApplyChanges,
+        on_outage: Callable[[], None],
     ) -> None:
-        super().__init__(topic, store.WAIT_S, is_told=True)
+        super().__init__(topic, store.READ_WAIT_S, follows_peers=True)
         self.mirror = mirror.Mirror()
-        self._store = opened
-        self._take_changes = take_changes
-        self._on_trouble = on_trouble
+        self._store = client
+        self._apply_changes = apply_changes
+        self._on_outage = on_outage
 
     async def read_first(self) -> store.Changes:
         """See the base class."""
-        return await self._store.read_newest(self.stream, self.note_progress)
+        return await self._store.read_newest(self.stream, self.record_progress)
 
-    async def read_on(
+    async def read_from(
         self, offset: int, wait_s: float, timeout_s: float
     ) -> store.Changes:
         """See the base class."""
         return await self._store.read_changes(
-            self.stream, offset, wait_s, timeout_s, self.note_progress
+            self.stream, offset, wait_s, timeout_s, self.record_progress
         )
 
-    async def take(self, page: store.Changes, first: bool) -> None:
+    async def apply_page(self, page: store.Changes, first: bool) -> None:
         """See the base class."""
-        self.mirror.take(page, first)
-        self._take_changes(page, first)
+        self.mirror.apply(page, first)
+        self._apply_changes(page, first)
 
     def get_end(self, page: store.Changes) -> int:
         """See the base class."""
@@ -63,6 +63,6 @@
         """See the base class."""
         return len(page.records)
 
-    def note_trouble(self) -> None:
+    def record_outage(self) -> None:
         """See the base class."""
-        self._on_trouble()
+        self._on_outage()
--- /dev/null
+++ b/ramptray/relay/backend_probe.py
@@ -0,0 +1,79 @@
+"""Probes a backend server after a connection to it has broken."""
+
+from __future__ import annotations
+
+import enum
+import socket
+
+import anyio
+
+CONNECT_TIMEOUT_S = 0.06
+"""Longest time to open the probe connection, in seconds.  An address without a
+listener refuses within a round trip of a few milliseconds, or about 10 ms on
+a slow VM."""
+
+CLOSE_WATCH_S = 0.02
+"""How long the new connection is watched for a close, in seconds.  When a
+process ends, the kernel closes its sockets one by one, possibly the listening
+socket last."""
+
+
+class ProbeResult(enum.Enum):
+    """What a new connection shows about a backend server.
+
+    Attributes:
+        GONE: Nothing listens at its address; its process has ended.
+        LISTENING: It accepts connections.
+        SILENT: It does not respond; the server, its machine or the network
+            path has failed.
+    """
+
+    GONE = "gone"
+    LISTENING = "there"
+    SILENT = "silent"
+
+
+async def probe_backend(address: str) -> ProbeResult:
+    """Opens a connection to a backend server and closes it again.
+
+    On the broken connection a reset, a network fault and an ended process look
+    the same; a new connection distinguishes them.
+
+    Args:
+        address: IP number and port of the backend server.
+    """
+    result = await _try_to_connect(address)
+    if result is None:
+        result = await _try_to_connect(address)
+    return result or ProbeResult.SILENT
+
+
+async def _try_to_connect(address: str) -> ProbeResult | None:
+    """Returns the result of one connection; None if it was closed at once."""
+    host, _, port = address.rpartition(":")
+    try:
+        with anyio.fail_after(CONNECT_TIMEOUT_S):
+            stream = await anyio.connect_tcp(host, int(port))
+    except (TimeoutError, socket.gaierror):
+        return ProbeResult.SILENT
+    except OSError as error:
+        return _classify_error(error)
+    try:
+        with anyio.move_on_after(CLOSE_WATCH_S):
+            await stream.receive(1)
+    except (anyio.EndOfStream, anyio.BrokenResourceError):
+        return None
+    finally:
+        await anyio.aclose_forcefully(stream)
+    return ProbeResult.LISTENING
+
+
+def _classify_error(error: OSError) -> ProbeResult:
+    """Returns the result for a failed connection.
+
+    anyio wraps the original error, so its cause and context are checked too.
+    """
+    causes = [error, error.__cause__, error.__context__]
+    if any(isinstance(cause, ConnectionRefusedError) for cause in causes):
+        return ProbeResult.GONE
+    return ProbeResult.SILENT
--- a/ramptray/relay/event.py
+++ b/ramptray/relay/event.py
@@ -1,7 +1,8 @@
-"""Splits a stream of server-sent events at their ends.
+"""Splits a stream of server-sent events at event boundaries.
 
-Only whole events are passed on, so that a stream that breaks in the middle of
-one can go on elsewhere without a piece twice or missing.
+Only complete events are forwarded, so that a stream that breaks in the middle
+of an event can resume at another backend server without duplicated or missing
+bytes.
 """
 
 from __future__ import annotations
@@ -13,31 +14,31 @@
 
 
 class EventSplitter:
-    """Holds back the beginning of an event until its end has arrived.
+    """Buffers an incomplete event until its end has arrived.
 
     Attributes:
-        last_id: Id of the last whole event; None before the first.
-        count: Whole events so far.
+        last_id: Id of the last complete event that has one; None so far.
+        count: Number of complete events so far.
     """
 
     def __init__(self) -> None:
         self.last_id: str | None = None
         self.count = 0
-        self._rest = b""
+        self._remainder = b""
 
     def split(self, data: bytes) -> bytes:
-        """Returns the whole events that these bytes complete."""
-        buffered = self._rest + data
+        """Returns the events that these bytes complete."""
+        buffered = self._remainder + data
         end = 0
         for found in _END.finditer(buffered):
             end = found.end()
             self.count += 1
-        whole, self._rest = buffered[:end], buffered[end:]
-        if ids := _ID.findall(whole):
+        complete, self._remainder = buffered[:end], buffered[end:]
+        if ids := _ID.findall(complete):
             self.last_id = ids[-1].decode("latin-1")
-        return whole
+        return complete
 
-    def take_rest(self) -> bytes:
-        """Returns what follows the last whole event."""
-        rest, self._rest = self._rest, b""
-        return rest
+    def take_remainder(self) -> bytes:
+        """Returns and clears the bytes after the last complete event."""
+        remainder, self._remainder = self._remainder, b""
+        return remainder
--- a/ramptray/relay/server.py
+++ b/ramptray/relay/server.py
@@ -1,4 +1,4 @@
-"""The callers' side of the relay: HTTP/1.1 connections, one task each."""
+"""HTTP/1.1 server of the relay; one task serves each caller's connection."""
 
 from __future__ import annotations
 
@@ -17,53 +17,55 @@
 from ramptray.bundle import model
 from ramptray.relay import dialect as dialects
 from ramptray.relay import exchange, message, refusal
-from ramptray.relay import stream as streams
+from ramptray.relay import socket_stream as streams
 
 LOG = logging.getLogger(__name__)
 
-WRITE_S = 30.0
-"""Longest time a caller may leave its answer unread, in seconds."""
+WRITE_TIMEOUT_S = 30.0
+"""Longest time a caller may leave its response unread, in seconds."""
 
-BODY_S = 10.0
-"""Longest time a body may take to arrive, in seconds."""
+BODY_TIMEOUT_S = 10.0
+"""Longest time a request's body may take to arrive, in seconds."""
 
 REQUEST_TIMEOUT = 408
-TOO_LARGE = 413
-HEAD_TOO_LARGE = 431
+CONTENT_TOO_LARGE = 413
+HEADERS_TOO_LARGE = 431
 BAD_REQUEST = 400
 
 STOPPING = refusal.Refusal(refusal.UNAVAILABLE, "stopping", 0.05)
-"""Other VMs can serve the request at once."""
+"""Sent during a planned stop; another VM can serve the retry at once."""
 
-Serve = Callable[[message.CallerRequest, exchange.Reply], Awaitable[None]]
+Serve = Callable[
+    [message.CallerRequest, exchange.ResponseWriter], Awaitable[None]
+]
 
 
-class CallerGoneError(Exception):
-    """The caller has closed its connection or cannot be written to."""
+class CallerDisconnectedError(Exception):
+    """The caller closed its connection or cannot be written to."""
 
 
 class _BadRequestError(Exception):
-    """The bytes of a caller are no request that can be served."""
+    """The bytes received are not a valid request."""
 
-    def __init__(self, mistake: message.Mistake) -> None:
-        self.mistake = mistake
-        super().__init__(mistake.text)
+    def __init__(self, invalid: message.InvalidRequest) -> None:
+        self.invalid = invalid
+        super().__init__(invalid.text)
 
 
-class State(msgspec.Struct):
-    """What all connections of the server share.
+class ServerState(msgspec.Struct):
+    """State shared by all connections of the server.
 
     Attributes:
-        limits: Limits towards callers, from the bundle in force.
-        stopping: Whether a planned stop has begun: answers then say that their
-            connection closes.
-        diverting: Whether callers are better served elsewhere: answers then say
-            that their connection closes.
-        refusing: Whether requests are refused: there is no time left to end
-            them before the process is killed.
-        idle: Connections that wait for a request.
-        active: Requests that are being served.
-        connections: Connections that are open.
+        limits: Limits for callers, from the bundle in force.
+        stopping: Whether a planned stop has begun; responses then carry
+            ``Connection: close``.
+        diverting: Whether another VM would serve callers better; responses
+            then carry ``Connection: close``.
+        refusing: Whether new requests are refused because too little time is
+            left to finish them before the process is killed.
+        idle: Cancel scopes of the connections waiting for a request.
+        active: Number of requests being served.
+        connections: Number of open connections.
     """
 
     limits: model.RelayLimits = msgspec.field(default_factory=model.RelayLimits)
@@ -79,17 +81,17 @@
     """Serves callers' connections.
 
     Args:
-        dialect: How requests are spelled.
+        dialect: Decodes requests and encodes response headers.
         serve: Serves one request.
     """
 
     def __init__(self, dialect: dialects.Dialect, serve: Serve) -> None:
-        self.state = State()
+        self.state = ServerState()
         self._dialect = dialect
         self._serve = serve
 
-    def refuse_new(self) -> None:
-        """Serves no further request; what is being served goes on."""
+    def refuse_new_requests(self) -> None:
+        """Refuses new requests; requests being served continue."""
         self.state.refusing = True
         for scope in list(self.state.idle):
             scope.cancel()
@@ -103,95 +105,97 @@
                 stream, self._dialect, self._serve, self.state
             )
             await connection.run()
-        except (OSError, CallerGoneError):
-            pass  # The caller has gone; nobody is left to be told.
+        except (OSError, CallerDisconnectedError):
+            pass  # The caller has disconnected; no response is possible.
         except Exception:
-            # A mistake in the code costs this connection, not the others.
+            # A bug must end this connection only, not the others.
             LOG.exception("connection ended by an error")
         finally:
             self.state.connections -= 1
-            stream.finish()
+            stream.flush_and_close()
 
 
 class CallerConnection:
-    """One connection of a caller, with one request after the other."""
+    """A caller's connection, which carries one request after another."""
 
     def __init__(
         self,
         stream: streams.SocketStream,
         dialect: dialects.Dialect,
         serve: Serve,
-        state: State,
+        state: ServerState,
     ) -> None:
         self._stream = stream
         self._dialect = dialect
         self._serve = serve
         self._state = state
         self._http = h11.Connection(h11.SERVER, state.limits.header_bytes)
-        self._cut = False
+        self._aborted = False
 
     async def run(self) -> None:
         """Serves requests until either side closes."""
         while await self._serve_one():
             self._http.start_next_cycle()
-            # The next head's limit is that of the configuration in force.
+            # _read_request checks the next head against the limits in force.
 
     async def _serve_one(self) -> bool:
-        """Serves one request; returns whether another one may follow."""
+        """Serves one request; returns whether the connection stays open."""
         try:
-            asked = await self._read_request()
+            request = await self._read_request()
         except _BadRequestError as error:
-            await self._answer_mistake(error.mistake)
+            await self._refuse_invalid_request(error.invalid)
             return False
-        if asked is None:
+        if request is None:
             return False
         if self._state.refusing:
-            await CallerReply(self, asked).refuse(STOPPING)
+            await CallerResponseWriter(self, request).refuse(STOPPING)
             return False
         self._state.active += 1
         try:
-            await self._serve_watched(asked)
+            await self._serve_until_disconnect(request)
         finally:
             self._state.active -= 1
         http = self._http
         clean = http.our_state is h11.DONE and http.their_state is h11.DONE
-        return clean and not self._cut
+        return clean and not self._aborted
 
-    async def _serve_watched(self, asked: message.CallerRequest) -> None:
-        """Serves a request and gives up as soon as the caller has gone."""
-        reply = CallerReply(self, asked)
+    async def _serve_until_disconnect(
+        self, request: message.CallerRequest
+    ) -> None:
+        """Serves a request; cancels it as soon as the caller disconnects."""
+        writer = CallerResponseWriter(self, request)
         with anyio.CancelScope() as scope:
             self._stream.on_end = scope.cancel
             try:
                 if self._stream.has_ended:
                     scope.cancel()
-                with contextlib.suppress(CallerGoneError):
-                    await self._serve(asked, reply)
+                with contextlib.suppress(CallerDisconnectedError):
+                    await self._serve(request, writer)
             finally:
                 self._stream.on_end = None
         if scope.cancelled_caught:
-            raise CallerGoneError
-
-    # Reading.
+            raise CallerDisconnectedError
 
     async def _read_request(self) -> message.CallerRequest | None:
-        """Returns the next request, or None where there is none."""
+        """Returns the next request; None if the connection ended."""
         event = await self._read_head()
         if event is None:
             return None
-        head = message.Head(
+        head = message.RequestHead(
             event.method, event.target, list(event.headers.raw_items())
         )
-        if _measure(head) > self._state.limits.header_bytes:
-            mistake = message.Mistake(HEAD_TOO_LARGE, "head too large")
-            raise _BadRequestError(mistake)
-        match self._dialect.read_request(head):
-            case Err(mistake):
-                raise _BadRequestError(mistake)
-            case Ok(asked):
+        if _compute_head_size(head) > self._state.limits.header_bytes:
+            invalid = message.InvalidRequest(
+                HEADERS_TOO_LARGE, "head too large"
+            )
+            raise _BadRequestError(invalid)
+        match self._dialect.parse_request(head):
+            case Err(invalid):
+                raise _BadRequestError(invalid)
+            case Ok(request):
                 pass
         body = await self._read_body()
-        return msgspec.structs.replace(asked, body=body)
+        return msgspec.structs.replace(request, body=body)
 
     async def _read_head(self) -> h11.Request | None:
         limits = self._state.limits
@@ -207,8 +211,10 @@
             with anyio.fail_after(limits.header_s):
                 return await self._next_request()
         except TimeoutError as error:
-            mistake = message.Mistake(REQUEST_TIMEOUT, "head took too long")
-            raise _BadRequestError(mistake) from error
+            invalid = message.InvalidRequest(
+                REQUEST_TIMEOUT, "head took too long"
+            )
+            raise _BadRequestError(invalid) from error
 
     async def _wait_for_request(self, idle_s: float) -> bool:
         """Returns whether the first bytes of a request have arrived."""
@@ -236,27 +242,31 @@
     async def _read_body(self) -> bytes:
         parts: list[bytes] = []
         size = 0
-        ends_at = steadyclock.read() + BODY_S
+        deadline = steadyclock.read() + BODY_TIMEOUT_S
         if self._http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            await self.send(self._http.send(go_on) or b"")
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            await self.send(self._http.send(interim) or b"")
         try:
-            async for data in self._iterate_body(ends_at):
+            async for data in self._iterate_body(deadline):
                 size += len(data)
                 if size > self._state.limits.body_bytes:
-                    mistake = message.Mistake(TOO_LARGE, "body too large")
-                    raise _BadRequestError(mistake)
+                    invalid = message.InvalidRequest(
+                        CONTENT_TOO_LARGE, "body too large"
+                    )
+                    raise _BadRequestError(invalid)
                 parts.append(data)
         except TimeoutError as error:
-            mistake = message.Mistake(REQUEST_TIMEOUT, "body took too long")
-            raise _BadRequestError(mistake) from error
+            invalid = message.InvalidRequest(
+                REQUEST_TIMEOUT, "body took too long"
+            )
+            raise _BadRequestError(invalid) from error
         return b"".join(parts)
 
-    async def _iterate_body(self, ends_at: float) -> AsyncIterator[bytes]:
+    async def _iterate_body(self, deadline: float) -> AsyncIterator[bytes]:
         """Yields the body's parts.
 
         Raises:
-            TimeoutError: It is not whole by its time.
+            TimeoutError: The body is incomplete at the deadline.
         """
         while True:
             event = self._parse_event()
@@ -265,106 +275,108 @@
             elif isinstance(event, h11.EndOfMessage):
                 return
             elif event is h11.NEED_DATA:
-                left_s = max(0.0, ends_at - steadyclock.read())
+                left_s = max(0.0, deadline - steadyclock.read())
                 if not await self._receive(left_s):
-                    raise CallerGoneError
+                    raise CallerDisconnectedError
             else:
-                raise CallerGoneError
+                raise CallerDisconnectedError
 
     def _parse_event(self) -> Any:
         try:
             return self._http.next_event()
         except h11.RemoteProtocolError as error:
             status = error.error_status_hint
-            if status not in (BAD_REQUEST, HEAD_TOO_LARGE):
+            if status not in (BAD_REQUEST, HEADERS_TOO_LARGE):
                 status = BAD_REQUEST
-            mistake = message.Mistake(status, str(error))
-            raise _BadRequestError(mistake) from error
+            invalid = message.InvalidRequest(status, str(error))
+            raise _BadRequestError(invalid) from error
 
-    async def _receive(self, wait_s: float | None = None) -> bool:
-        """Reads some bytes; returns False at the end of the connection.
+    async def _receive(self, timeout_s: float | None = None) -> bool:
+        """Feeds received bytes to the parser; returns False at end of stream.
 
         Raises:
-            TimeoutError: Nothing came in time.
+            TimeoutError: Nothing arrived in time.
         """
         try:
-            data = await self._stream.receive(wait_s)
+            data = await self._stream.receive(timeout_s)
         except anyio.EndOfStream:
             data = b""
         except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
-            raise CallerGoneError from error
+            raise CallerDisconnectedError from error
         try:
             self._http.receive_data(data)
         except h11.RemoteProtocolError as error:
-            raise CallerGoneError from error
+            raise CallerDisconnectedError from error
         return bool(data)
 
-    # Writing.
-
     async def send(self, data: bytes) -> None:
         """Writes bytes to the caller.
 
         Raises:
-            CallerGoneError: It has gone, or it does not read.
+            CallerDisconnectedError: It disconnected or does not read.
         """
         try:
-            await self._stream.send(data, WRITE_S)
+            await self._stream.send(data, WRITE_TIMEOUT_S)
         except (
             TimeoutError,
             anyio.BrokenResourceError,
             anyio.ClosedResourceError,
         ) as error:
-            self._cut = True
-            raise CallerGoneError from error
+            self._aborted = True
+            raise CallerDisconnectedError from error
 
     async def send_event(self, event: Any) -> None:
-        """Writes a part of an answer.
+        """Writes a part of a response.
 
         Raises:
-            CallerGoneError: It has gone, or it does not read.
+            CallerDisconnectedError: It disconnected or does not read.
         """
         try:
             data = self._http.send(event)
         except h11.LocalProtocolError as error:
-            self._cut = True
-            raise CallerGoneError from error
+            self._aborted = True
+            raise CallerDisconnectedError from error
         if data:
             await self.send(data)
 
-    async def cut(self) -> None:
-        """Closes the connection in the middle of an answer."""
-        self._cut = True
+    async def abort(self) -> None:
+        """Closes the connection in the middle of a response."""
+        self._aborted = True
         self._stream.close()
 
     def get_closing_headers(self) -> message.Headers:
-        """Returns the headers that announce a close, if there is one."""
+        """Returns ``Connection: close`` if the connection is about to close."""
         if self._state.stopping or self._state.diverting:
             return [(b"Connection", b"close")]
         return []
 
-    async def _answer_mistake(self, mistake: message.Mistake) -> None:
+    async def _refuse_invalid_request(
+        self, invalid: message.InvalidRequest
+    ) -> None:
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         LOG.info(
-            "request refused as it is",
-            extra={"status": mistake.status, "detail": mistake.text},
+            "invalid request refused",
+            extra={"status": invalid.status, "detail": invalid.text},
         )
         headers = self._dialect.make_refusal_headers("", 0.0)
         headers.append((b"Connection", b"close"))
-        refused = refusal.Refusal(mistake.status, mistake.text)
+        refused = refusal.Refusal(invalid.status, invalid.text)
         await send_refusal(self, refused, headers)
 
 
-class CallerReply(exchange.Reply):
-    """The way back to a caller on its connection."""
+class CallerResponseWriter(exchange.ResponseWriter):
+    """Writes a response to a caller's connection."""
 
     def __init__(
-        self, connection: CallerConnection, asked: message.CallerRequest
+        self, connection: CallerConnection, request: message.CallerRequest
     ) -> None:
         self._connection = connection
-        self._asked = asked
+        self._request = request
 
-    async def start(self, head: message.AnswerHead, length: int | None) -> None:
+    async def start(
+        self, head: message.ResponseHead, length: int | None
+    ) -> None:
         """See the base class."""
         headers = [*head.headers, *self._connection.get_closing_headers()]
         if length is not None:
@@ -387,18 +399,18 @@
         """See the base class."""
         dialect = self._connection._dialect
         headers = dialect.make_refusal_headers(
-            self._asked.request_id, refused.retry_after_s
+            self._request.request_id, refused.retry_after_s
         )
         headers.extend(self._connection.get_closing_headers())
         await send_refusal(self._connection, refused, headers)
 
     async def abort(self) -> None:
         """See the base class."""
-        await self._connection.cut()
+        await self._connection.abort()
 
 
-def _measure(head: message.Head) -> int:
-    """Returns the size of a head in bytes, as good as it arrived."""
+def _compute_head_size(head: message.RequestHead) -> int:
+    """Returns the approximate size of a head in bytes."""
     fields = sum(len(name) + len(value) + 4 for name, value in head.headers)
     return len(head.method) + len(head.target) + fields
 
@@ -408,7 +420,7 @@
     refused: refusal.Refusal,
     headers: message.Headers,
 ) -> None:
-    """Writes an answer of ramptray's own."""
+    """Writes an error response generated by ramptray."""
     body = json.dumps({"error": refused.text}).encode()
     headers = [
         *headers,
--- a/ramptray/scheduler/event.py
+++ b/ramptray/scheduler/event.py
@@ -1,4 +1,4 @@
-"""What the hub of a scheduler, and its task for claims, are told."""
+"""Events for the mailboxes of the scheduler's hub and claim manager."""
 
 from __future__ import annotations
 
@@ -12,23 +12,24 @@
 from ramptray.peer import message as peer_message
 
 if TYPE_CHECKING:
-    # Loading an HTTP client is dear for a program that asks no engine.
+    # Importing an HTTP client is slow, and only programs that poll engines
+    # need it.
     from ramptray.engine import client as engine_client
 
 
-class Opened(msgspec.Struct, frozen=True):
-    """A process has attached."""
+class SessionOpened(msgspec.Struct, frozen=True):
+    """A process has opened a session; it has not sent its Hello yet."""
 
     session: peer_link.Session
 
 
-class Closed(msgspec.Struct, frozen=True):
-    """An attached process has gone."""
+class SessionClosed(msgspec.Struct, frozen=True):
+    """The session of an attached process has ended."""
 
     session: peer_link.Session
 
 
-class Received(msgspec.Struct, frozen=True):
+class MessageReceived(msgspec.Struct, frozen=True):
     """An attached process has sent a message."""
 
     session: peer_link.Session
@@ -36,82 +37,82 @@
 
 
 class BundleChanged(msgspec.Struct, frozen=True):
-    """Another bundle is in force."""
+    """A different bundle is in force."""
 
     in_force: acceptance.InForce
 
 
 class ViewChanged(msgspec.Struct, frozen=True):
-    """The zone's membership, or what is known of other zones, has changed."""
+    """The zone's members or the known schedulers of other zones changed."""
 
     view: peer_message.View
 
 
-class LowestChanged(msgspec.Struct, frozen=True):
-    """All VMs of the zone now work by this generation or a newer one."""
+class LowestGenerationChanged(msgspec.Struct, frozen=True):
+    """All VMs of the zone now use this bundle generation or a newer one."""
 
     generation: int
 
 
-class Reported(msgspec.Struct, frozen=True):
-    """An engine's load report has arrived, or none did."""
+class LoadReported(msgspec.Struct, frozen=True):
+    """Result of polling an engine for load; None if the poll failed."""
 
     backend: str
     report: engine_client.LoadReport | None
 
 
 class CacheChanged(msgspec.Struct, frozen=True):
-    """An engine's cache events have arrived."""
+    """An engine has reported blocks added to and removed from its cache."""
 
     backend: str
     events: engine_client.CacheEvents
 
 
-class LeavingListed(msgspec.Struct, frozen=True):
-    """The platform's list names these backend servers as leaving."""
+class LeavingBackendsListed(msgspec.Struct, frozen=True):
+    """The backend servers that the platform lists as leaving."""
 
     names: frozenset[str]
 
 
-class Decided(msgspec.Struct, frozen=True):
-    """The log has decided on a claim."""
+class ClaimDecided(msgspec.Struct, frozen=True):
+    """The outcome of a claim is known."""
 
     session: peer_link.Session
     decision: peer_message.ClaimDecision
 
 
-class EventsWanted(msgspec.Struct, frozen=True):
-    """An operator asks for the events of this VM's processes.
+class TimelineRequested(msgspec.Struct, frozen=True):
+    """An operator requests the timelines of this VM's processes.
 
     Attributes:
-        question: What is asked.
-        answers: Where each attached process's answer goes.
+        question: The request.
+        answers: Receives the response of each attached process.
     """
 
     question: peer_message.AskTimeline
     answers: memory.MemoryObjectSendStream[peer_message.TimelineEvents]
 
 
-class Wanted(msgspec.Struct, frozen=True):
-    """An entry wants a key."""
+class ClaimRequested(msgspec.Struct, frozen=True):
+    """An entry requests a claim on an idempotency key."""
 
     session: peer_link.Session
     wish: peer_message.ClaimKey
 
 
-class Unwanted(msgspec.Struct, frozen=True):
-    """An entry will never dispatch an attempt."""
+class ClaimReleased(msgspec.Struct, frozen=True):
+    """An entry gives up an attempt that it will never dispatch."""
 
     release: peer_message.ReleaseKey
 
 
-class Finished(msgspec.Struct, frozen=True):
-    """An attempt's answer was whole."""
+class ClaimFinished(msgspec.Struct, frozen=True):
+    """An attempt has received a complete response."""
 
     finish: peer_message.FinishKey
 
 
 class PartitionsChanged(msgspec.Struct, frozen=True):
-    """These partitions are this scheduler's own in its view."""
+    """The claim partitions that this scheduler owns in its view."""
 
     numbers: frozenset[int]
--- a/ramptray/scheduler/hub.py
+++ b/ramptray/scheduler/hub.py
@@ -1,4 +1,4 @@
-"""The task that owns a scheduler's shards and its attached processes."""
+"""The task that owns a scheduler's shards and attached processes."""
 
 from __future__ import annotations
 
@@ -22,48 +22,50 @@
     policy,
     shard,
 )
-from ramptray.entry import blocked
+from ramptray.entry import block_propagator
 from ramptray.peer import link as peer_link
 from ramptray.peer import message as peer_message
-from ramptray.scheduler import attached as attached_processes
 from ramptray.scheduler import (
+    attached_process,
+    content_blocker,
     event,
     gossip,
-    guard,
-    learned,
+    observations,
     query,
     rollouts,
     rules,
 )
 
 if TYPE_CHECKING:
-    # Loading an HTTP client is dear for a program that asks no engine.
+    # Importing an HTTP client is slow, and only programs that poll engines
+    # need it.
     from ramptray.engine import client as engine_client
     from ramptray.scheduler import claims
 
 LOG = logging.getLogger(__name__)
 
-TICK_S = 0.1
-IDLE_TICK_S = 0.5
-STILL_WAITING_S = 0.18
-"""How long an entry with waiting requests gets no message, in seconds:
-less than half of the time after which it takes its owner for lost."""
+TICK_INTERVAL_S = 0.1
+IDLE_TICK_INTERVAL_S = 0.5
+STILL_WAITING_INTERVAL_S = 0.18
+"""Longest time without a message to an entry that has waiting requests, in
+seconds; less than half the time after which it considers its owner lost."""
 
-SUMMARY_EVERY_S = 0.5
-IDLE_SHARD_S = 5.0
-"""How long a shard that is owned elsewhere is kept while it is empty."""
+SUMMARY_INTERVAL_S = 0.5
+IDLE_SHARD_TIMEOUT_S = 5.0
+"""Time after which an empty shard that another scheduler owns is closed, in
+seconds."""
 
 
 class Options(msgspec.Struct, frozen=True):
-    """How a hub works.
+    """Options of a hub.
 
     Attributes:
-        policy: Name of the policy by which backend servers are chosen.
+        policy: Name of the policy that selects backend servers.
         report_grace_s: How long a new owner waits for the first report of a
             backend server.
-        shares_limits: Whether a customer's limit holds over all services
-            together instead of for each shard.
-        sends_bundle: Whether attached processes get the bundle from here.
+        shares_limits: Whether a customer's limit applies to all services
+            together instead of to each shard.
+        sends_bundle: Whether the hub sends attached processes the bundle.
     """
 
     policy: str = policy.TokenPolicy.name
@@ -73,16 +75,16 @@
 
 
 class Hub:
-    """Owns the shards; every change to them is one event in its mailbox.
+    """Owns the shards; changes them only in response to mailbox events.
 
     Attributes:
         in_force: The bundle in force, if any.
-        timeline: Where events are noted.
-        shards: The shards that are open here.
-        guard: Keeps contents that end backend servers away from them.
+        timeline: Records events for operators.
+        shards: The open shards.
+        content_blocker: Blocks contents that crash backend servers.
         view: The schedulers of this zone and some of the others.
-        on_new_backends: Called when backend servers should be asked at once.
-        rollouts: Applies the rollouts of releases to the shards.
+        on_new_backends: Called when backend servers should be polled at once.
+        rollouts: Applies rollouts to the shards.
     """
 
     def __init__(
@@ -91,41 +93,43 @@
         zone: str,
         options: Options,
         gossiper: gossip.Gossiper,
-        claim_desk: claims.ClaimDesk | None,
+        claim_manager: claims.ClaimManager | None,
         events: timeline.Timeline,
         blocks: blocklist.Blocklist | None = None,
     ) -> None:
         self.blocks = blocklist.Blocklist() if blocks is None else blocks
-        self.blocks.on_change(self._spread_blocks)
-        self.guard = guard.Guard(self.blocks, events)
+        self.blocks.on_change(self._propagate_blocks)
+        self.content_blocker = content_blocker.ContentBlocker(
+            self.blocks, events
+        )
         self.in_force: acceptance.InForce | None = None
         self.timeline = events
         self.shards: dict[message.ShardKey, shard.ShardOwner] = {}
         self.view = peer_message.View([], [])
         self.on_new_backends: Callable[[], None] = _do_nothing
-        self.rollouts = rollouts.RolloutDesk(lambda: self.shards.values())
+        self.rollouts = rollouts.RolloutManager(lambda: self.shards.values())
         self._address = address
         self._zone = zone
         self._options = options
         self._gossiper = gossiper
-        self._claims = claim_desk
+        self._claim_manager = claim_manager
         self._limits = limit.Limits({}) if options.shares_limits else None
-        self._attached = attached_processes.AttachedProcesses()
-        self._learned = learned.LearnedBook()
-        self._leaving_listed: frozenset[str] = frozenset()
-        self._leaving_said: set[str] = set()
+        self._attached = attached_process.AttachedProcesses()
+        self._observations = observations.BackendObservations()
+        self._listed_leaving: frozenset[str] = frozenset()
+        self._reported_leaving: set[str] = set()
         self._empty_since: dict[message.ShardKey, float] = {}
-        self._summaries_at = 0.0
-        self._lowest = 0
-        self._owned: dict[str, bool] = {}
-        self._queries = query.EventQueries()
+        self._summaries_sent_at = 0.0
+        self._lowest_generation = 0
+        self._ownership: dict[str, bool] = {}
+        self._timeline_queries = query.TimelineQueries()
         self._has_work = anyio.Event()
         self._mailbox = mailbox.Mailbox(
             lambda posted: self._handle(posted, steadyclock.read())
         )
 
     def post(self, posted: Any) -> None:
-        """Has an event handled."""
+        """Adds an event to the mailbox."""
         self._mailbox.post(posted)
 
     async def run(self) -> None:
@@ -135,18 +139,18 @@
             await self._mailbox.run()
 
     def owns(self, key: message.ShardKey) -> bool:
-        """Returns whether this scheduler owns a shard in its own view."""
+        """Returns whether this scheduler owns a shard, in its view."""
         name = key.get_owner_key(self._options.shares_limits)
-        if name not in self._owned:
+        if name not in self._ownership:
             strongest = membership.list_strongest(self.view.members)
             members = {m.vm: m.address for m in strongest}
             owner = membership.pick_owner(name, list(members))
-            self._owned[name] = (
+            self._ownership[name] = (
                 owner is not None and members[owner] == self._address
             )
-        return self._owned[name]
+        return self._ownership[name]
 
-    def list_own_backends(self) -> list[str]:
+    def list_owned_backends(self) -> list[str]:
         """Returns the backend servers that this scheduler polls."""
         return [
             name
@@ -155,7 +159,7 @@
             for name in owner.fleet.backends
         ]
 
-    def list_attached(self) -> list[attached_processes.Attached]:
+    def list_attached(self) -> list[attached_process.AttachedProcess]:
         """Returns the attached processes."""
         return [attached for _, attached in self._attached]
 
@@ -163,112 +167,110 @@
         while True:
             if all(owner.is_empty for owner in self.shards.values()):
                 self._has_work = anyio.Event()
-                with anyio.move_on_after(IDLE_TICK_S):
+                with anyio.move_on_after(IDLE_TICK_INTERVAL_S):
                     await self._has_work.wait()
-            await anyio.sleep(TICK_S)
+            await anyio.sleep(TICK_INTERVAL_S)
             self._tick(steadyclock.read())
 
     def _handle(self, posted: Any, now: float) -> None:
         match posted:
-            case event.Received(session, body):
-                self._receive_from(session, body, now)
-            case event.Opened(session):
+            case event.MessageReceived(session, body):
+                self._handle_message(session, body, now)
+            case event.SessionOpened(session):
                 self._attached.open(session)
-            case event.Closed(session):
+            case event.SessionClosed(session):
                 self._close(session, now)
             case event.BundleChanged(in_force):
-                self._take_bundle(in_force)
+                self._apply_bundle(in_force)
                 self._open_own_shards(now)
             case event.ViewChanged(view):
-                self._take_view(view)
+                self._apply_view(view)
                 self._open_own_shards(now)
-            case event.LowestChanged(generation):
-                self._lowest = generation
+            case event.LowestGenerationChanged(generation):
+                self._lowest_generation = generation
                 for session, attached in self._attached:
                     if attached.hello.kind == "controller":
                         session.send(peer_message.LowestGeneration(generation))
-            case event.Reported(name, report):
-                self._take_report(name, report)
+            case event.LoadReported(name, report):
+                self._apply_load_report(name, report)
             case event.CacheChanged(name, changes):
-                self._take_cache_changes(name, changes)
-            case event.LeavingListed(names):
-                self._leaving_listed = names
-                self._mark_leaving()
-            case event.Decided(session, decision):
+                self._apply_cache_changes(name, changes)
+            case event.LeavingBackendsListed(names):
+                self._listed_leaving = names
+                self._update_leaving_states()
+            case event.ClaimDecided(session, decision):
                 session.send(decision)
-            case event.EventsWanted():
-                self._ask_for_events(posted)
+            case event.TimelineRequested():
+                self._request_events(posted)
 
-    def _ask_for_events(self, wanted: event.EventsWanted) -> None:
+    def _request_events(self, request: event.TimelineRequested) -> None:
         vm = self._gossiper.membership.me.vm
-        asked = [
+        sessions = [
             session
             for session, attached in self._attached
             if attached.hello.vm == vm
         ]
-        self._queries.ask(wanted, asked)
-
-    # Attached processes.
+        self._timeline_queries.ask(request, sessions)
 
-    def _receive_from(
+    def _handle_message(
         self, session: peer_link.Session, body: Any, now: float
     ) -> None:
         attached = self._attached.get(session)
         match body:
             case peer_message.Hello():
-                self._greet(session, body)
+                self._handle_hello(session, body)
             case _ if attached is None:
                 session.close()
             case message.SyncDone(entry):
                 for owner in self.shards.values():
-                    self._send_out(owner.receive(entry, body, now))
+                    self._send_effects(owner.receive(entry, body, now))
             case message.SpeedLearned(name):
-                self._learned.speeds[name] = body
+                self._observations.speeds[name] = body
                 for owner in self.shards.values():
                     owner.receive(attached.hello.name, body, now)
             case message.ServerHints():
-                self._take_server_hints(attached, body, now)
+                self._apply_server_hints(attached, body, now)
             case message.Enqueue(info) | message.Running(info):
-                self._pass_to_shard(attached, info.shard, body, now)
+                self._forward_to_shard(attached, info.shard, body, now)
             case (
                 message.Withdraw()
                 | message.Decline()
                 | message.FirstToken()
                 | message.Ended()
             ):
-                self._pass_to_holder(attached, body, now)
+                self._forward_to_request_owner(attached, body, now)
             case peer_message.TimelineEvents():
-                self._queries.hand_on(session, body)
+                self._timeline_queries.forward_answer(session, body)
             case peer_message.BlockedContents(blocks):
-                new = self.blocks.take(blocks, now)
-                blocked.log_taken(new, attached.hello.name)
+                new = self.blocks.merge(blocks, now)
+                block_propagator.log_merged_blocks(new, attached.hello.name)
             case peer_message.InForceReport(generation):
                 attached.generation = generation
             case peer_message.LeaseReport(held):
                 attached.holds_lease = held
-            case _ if self._claims is None:
+            case _ if self._claim_manager is None:
                 LOG.warning(
-                    "no claims are kept here",
+                    "message about claims on a scheduler that serves no claims",
                     extra={"message_type": type(body).__name__},
                 )
             case peer_message.ClaimKey():
-                self._claims.post(event.Wanted(session, body))
+                self._claim_manager.post(event.ClaimRequested(session, body))
             case peer_message.ReleaseKey():
-                self._claims.post(event.Unwanted(body))
+                self._claim_manager.post(event.ClaimReleased(body))
             case peer_message.FinishKey():
-                self._claims.post(event.Finished(body))
+                self._claim_manager.post(event.ClaimFinished(body))
 
-    def _take_server_hints(
+    def _apply_server_hints(
         self,
-        attached: attached_processes.Attached,
+        attached: attached_process.AttachedProcess,
         hints: message.ServerHints,
         now: float,
     ) -> None:
-        self._learned.take_hints(hints, attached.hello.name, now)
+        self._observations.record_hints(hints, attached.hello.name, now)
         for owner in self.shards.values():
-            self._send_out(owner.receive(attached.hello.name, hints, now))
+            self._send_effects(owner.receive(attached.hello.name, hints, now))
 
-    def _greet(
+    def _handle_hello(
         self, session: peer_link.Session, hello: peer_message.Hello
     ) -> None:
         self._attached.add(session, hello)
@@ -276,11 +278,11 @@
         if self.in_force and self._options.sends_bundle:
             session.send(peer_message.BundleUpdate(self.in_force.envelope))
         if hello.kind != "entry":
-            session.send(peer_message.LowestGeneration(self._lowest))
+            session.send(peer_message.LowestGeneration(self._lowest_generation))
             return
         if len(self.blocks):
-            news = self.blocks.list_news(steadyclock.read())
-            session.send(peer_message.BlockedContents(news))
+            updates = self.blocks.list_updates(steadyclock.read())
+            session.send(peer_message.BlockedContents(updates))
         self._attached.add_entry(session, hello.name)
         for owner in self.shards.values():
             owner.begin_sync(hello.name)
@@ -290,101 +292,107 @@
         return hello.vm == self._gossiper.membership.me.vm
 
     def _choose_view(self, hello: peer_message.Hello) -> peer_message.View:
-        """Returns the view of the schedulers for an attached process.
+        """Returns the view to send to an attached process.
 
-        Each process uses the view of its own VM's scheduler only; a view lists
-        every VM, too much to send to all of them.
+        A process uses only the view of its own VM's scheduler.  Others get an
+        empty one, since a view lists every VM and is large.
         """
         if self._is_local(hello):
             return self.view
         return peer_message.View([], [])
 
     def _close(self, session: peer_link.Session, now: float) -> None:
-        self._queries.drop(session)
-        lost = self._attached.remove(session)
-        if lost is None:
+        self._timeline_queries.drop_session(session)
+        entry = self._attached.remove(session)
+        if entry is None:
             return
         for owner in self.shards.values():
-            owner.lose_entry(lost, now)
+            owner.detach_entry(entry, now)
 
-    def _pass_to_shard(
+    def _forward_to_shard(
         self,
-        attached: attached_processes.Attached,
+        attached: attached_process.AttachedProcess,
         key: message.ShardKey,
         body: message.EntryMessage,
         now: float,
     ) -> None:
         if isinstance(body, message.Enqueue):
-            reject = self.guard.check(body.request, now)
+            reject = self.content_blocker.check(body.request, now)
             if reject is not None:
-                self._send_out(
-                    [owner_effect.ToEntry(attached.hello.name, reject)]
+                self._send_effects(
+                    [owner_effect.SendToEntry(attached.hello.name, reject)]
                 )
                 return
         owner = self._get_shard(key, now)
         self._has_work.set()
         if owner is not None:
-            self._send_out(owner.receive(attached.hello.name, body, now))
+            self._send_effects(owner.receive(attached.hello.name, body, now))
             if isinstance(body, message.Enqueue):
-                self._confirm(attached, owner, body.request.request_id)
+                self._confirm_queued(attached, owner, body.request.request_id)
             return
         if isinstance(body, message.Enqueue):
             reject = message.Reject(
                 body.request.request_id, message.Reason.NOT_READY, 1.0
             )
-            self._send_out([owner_effect.ToEntry(attached.hello.name, reject)])
+            self._send_effects(
+                [owner_effect.SendToEntry(attached.hello.name, reject)]
+            )
 
-    def _confirm(
+    def _confirm_queued(
         self,
-        attached: attached_processes.Attached,
+        attached: attached_process.AttachedProcess,
         owner: shard.ShardOwner,
         request_id: str,
     ) -> None:
-        """Tells an entry that its request waits here.
+        """Confirms to an entry that its request is queued.
 
-        An entry without a reply takes the owner for lost.
+        An entry that gets no reply considers the owner lost.
         """
         if owner.is_waiting(request_id):
-            self._tell_entry(attached.hello.name, message.Queued(request_id))
+            self._send_to_entry(attached.hello.name, message.Queued(request_id))
 
-    def _pass_to_holder(
+    def _forward_to_request_owner(
         self,
-        attached: attached_processes.Attached,
-        body: guard.OfHolder,
+        attached: attached_process.AttachedProcess,
+        body: content_blocker.RequestUpdate,
         now: float,
     ) -> None:
         for owner in self.shards.values():
             if owner.holds(body.request_id):
-                self.guard.learn(owner, body, now)
+                self.content_blocker.observe(owner, body, now)
                 out = owner.receive(attached.hello.name, body, now)
-                self._send_out(out)
+                self._send_effects(out)
                 return
 
-    def _spread_blocks(self, news: list[blocklist.BlockNews]) -> None:
-        """Tells the entries, and refuses what waits here."""
-        spread = peer_message.BlockedContents(news)
+    def _propagate_blocks(self, updates: list[blocklist.BlockUpdate]) -> None:
+        """Sends blocks to the entries, and rejects blocked queued requests."""
+        notification = peer_message.BlockedContents(updates)
         for session, attached in self._attached:
             if attached.hello.kind == "entry":
-                session.send(spread)
-        for each in news:
-            if each.lifted:
+                session.send(notification)
+        for update in updates:
+            if update.lifted:
                 continue
             for owner in self.shards.values():
-                self._send_out(owner.refuse_waiting(each.content, each.left_s))
+                self._send_effects(
+                    owner.refuse_waiting(update.content, update.left_s)
+                )
 
-    def _send_out(self, effects: Iterable[owner_effect.ToEntry]) -> None:
+    def _send_effects(
+        self, effects: Iterable[owner_effect.SendToEntry]
+    ) -> None:
         for effect in effects:
-            self._tell_entry(effect.entry, effect.message)
-            self._note(effect)
+            self._send_to_entry(effect.entry, effect.message)
+            self._record_effect(effect)
 
-    def _tell_entry(
+    def _send_to_entry(
         self,
         entry: str,
         sent: message.OwnerMessage | message.Queued | message.StillWaiting,
     ) -> None:
         self._attached.send(entry, sent, steadyclock.read())
 
-    def _note(self, effect: owner_effect.ToEntry) -> None:
+    def _record_effect(self, effect: owner_effect.SendToEntry) -> None:
         basis = {
             "entry": effect.entry,
             "generation": self.in_force.generation if self.in_force else None,
@@ -405,8 +413,6 @@
             case message.Redirect(request_id, zone):
                 self.timeline.note("spill", request_id, zone=zone, **basis)
 
-    # Shards.
-
     def _get_shard(
         self, key: message.ShardKey, now: float
     ) -> shard.ShardOwner | None:
@@ -419,26 +425,28 @@
             key,
             self._address,
             rules.make_rules(bundle, key),
-            rules.list_infos(bundle, key),
+            rules.list_backend_infos(bundle, key),
             policy.make_policy(self._options.policy),
             now,
             self._options.report_grace_s,
             self._limits,
-            self._learned.speeds,
-            self.guard.evidence.is_suspect,
+            self._observations.speeds,
+            self.content_blocker.detector.is_suspect,
         )
-        for entry, hints in self._learned.list_hints(now):
-            owner.fleet.take_hints(hints, entry, now)
+        for entry, hints in self._observations.list_hints(now):
+            owner.fleet.apply_hints(hints, entry, now)
         self.shards[key] = owner
         self._apply_rollout(key, owner)
-        self._mark_leaving()
+        self._update_leaving_states()
         self.on_new_backends()
         return owner
 
-    def _take_bundle(self, in_force: acceptance.InForce) -> None:
+    def _apply_bundle(self, in_force: acceptance.InForce) -> None:
         self.in_force = in_force
         bundle = in_force.bundle
-        self._learned.discard_except(bundle.backend_servers, steadyclock.read())
+        self._observations.discard_except(
+            bundle.backend_servers, steadyclock.read()
+        )
         update = peer_message.BundleUpdate(in_force.envelope)
         for session, _ in self._attached:
             if self._options.sends_bundle:
@@ -448,10 +456,11 @@
                 del self.shards[key]
                 continue
             owner.configure(
-                rules.make_rules(bundle, key), rules.list_infos(bundle, key)
+                rules.make_rules(bundle, key),
+                rules.list_backend_infos(bundle, key),
             )
             self._apply_rollout(key, owner)
-        self._mark_leaving()
+        self._update_leaving_states()
         self.on_new_backends()
         self.timeline.note("bundle", f"generation-{bundle.generation}")
         LOG.info("bundle in force", extra={"generation": bundle.generation})
@@ -461,21 +470,22 @@
     ) -> None:
         assert self.in_force is not None
         order = self.in_force.bundle.rollouts.get(key.service)
-        self.rollouts.apply(owner, order, self.owns(key))
+        self.rollouts.set_order(owner, order, self.owns(key))
 
-    def _take_view(self, view: peer_message.View) -> None:
+    def _apply_view(self, view: peer_message.View) -> None:
         former = {m.vm for m in self.view.members}
         self.view = view
-        self._owned.clear()
-        self._divide_limits()
-        if self._claims is not None:
+        self._ownership.clear()
+        self._update_limit_share()
+        if self._claim_manager is not None:
             partitions = self._list_partitions()
-            self._claims.post(event.PartitionsChanged(partitions))
+            self._claim_manager.post(event.PartitionsChanged(partitions))
         for session, attached in self._attached:
             if self._is_local(attached.hello):
                 session.send(view)
         present = {m.vm for m in view.members}
-        # All names would be some 4 KB a line with hundreds of VMs.
+        # Only the changes: with hundreds of VMs, all names would take about
+        # 4 KB a line.
         self.timeline.note(
             "membership",
             self._zone,
@@ -484,16 +494,16 @@
             gone=sorted(former - present),
         )
 
-    def _divide_limits(self) -> None:
-        """Takes the part of limits held by all services that is ours."""
+    def _update_limit_share(self) -> None:
+        """Updates this scheduler's share of limits that span all services."""
         if self._limits is not None:
             key = message.ShardKey(self._zone, "")
-            stands_in = not self.owns(key)
-            part = self._gossiper.get_part(stands_in)
-            self._limits.set_part(part, stands_in)
+            is_stand_in = not self.owns(key)
+            part = self._gossiper.get_limit_share(is_stand_in)
+            self._limits.set_part(part, is_stand_in)
 
     def _open_own_shards(self, now: float) -> None:
-        """Opens each own shard, so that other zones learn of its room."""
+        """Opens each owned shard, so that other zones learn its capacity."""
         if self.in_force is None:
             return
         for name, service in self.in_force.bundle.services.items():
@@ -509,59 +519,61 @@
             if self.owns(message.ShardKey(self._zone, claim.SERVICE, number))
         )
 
-    def _take_report(
+    def _apply_load_report(
         self, name: str, report: engine_client.LoadReport | None
     ) -> None:
         if report is None:
             for owner in self.shards.values():
-                owner.fleet.note_silence(name)
+                owner.fleet.note_missing_report(name)
             return
         for owner in self.shards.values():
-            owner.correct_load(
+            owner.apply_load_report(
                 name,
                 report.running + report.waiting,
                 report.versions,
                 report.step_s,
             )
         if report.leaving:
-            self._leaving_said.add(name)
+            self._reported_leaving.add(name)
         else:
-            self._leaving_said.discard(name)
-        self._mark_leaving()
+            self._reported_leaving.discard(name)
+        self._update_leaving_states()
 
-    def _take_cache_changes(
+    def _apply_cache_changes(
         self, name: str, changes: engine_client.CacheEvents
     ) -> None:
         for owner in self.shards.values():
             if known := owner.fleet.backends.get(name):
-                known.cache.drop(changes.removed)
+                known.cache.evict(changes.removed)
                 known.cache.add(changes.stored)
 
-    def _mark_leaving(self) -> None:
-        leaving = self._leaving_listed | self._leaving_said
+    def _update_leaving_states(self) -> None:
+        leaving = self._listed_leaving | self._reported_leaving
         for owner in self.shards.values():
             for name in owner.fleet.backends:
-                left = name in leaving or not owner.fleet.wants(name)
+                is_leaving = name in leaving or not owner.fleet.is_configured(
+                    name
+                )
                 owner.fleet.set_state(
                     name,
                     backend.BackendState.LEAVING
-                    if left
+                    if is_leaving
                     else backend.BackendState.ACTIVE,
                 )
 
     def _tick(self, now: float) -> None:
         for key, owner in self.shards.items():
-            self.rollouts.go_on(owner, self.owns(key), now)
-            self._send_out(owner.tick(now))
+            self.rollouts.advance(owner, self.owns(key), now)
+            self._send_effects(owner.tick(now))
             for entry, count in owner.list_waiting_entries().items():
-                silence_s = self._attached.get_silence(entry, now)
-                if silence_s >= STILL_WAITING_S:
-                    self._tell_entry(entry, message.StillWaiting(count))
-        if now - self._summaries_at >= SUMMARY_EVERY_S:
-            self._summaries_at = now
-            self._divide_limits()
+                silence_s = self._attached.get_idle_time(entry, now)
+                if silence_s >= STILL_WAITING_INTERVAL_S:
+                    self._send_to_entry(entry, message.StillWaiting(count))
+        if now - self._summaries_sent_at >= SUMMARY_INTERVAL_S:
+            self._summaries_sent_at = now
+            self._update_limit_share()
             self._exchange_summaries(now)
-            self._drop_foreign_shards(now)
+            self._close_idle_shards(now)
 
     def _exchange_summaries(self, now: float) -> None:
         mine = [
@@ -575,16 +587,16 @@
                 self._gossiper.summaries.list_remote(key, now)
             )
 
-    def _drop_foreign_shards(self, now: float) -> None:
+    def _close_idle_shards(self, now: float) -> None:
         for key, owner in list(self.shards.items()):
             if self.owns(key) or not owner.is_empty:
                 self._empty_since.pop(key, None)
                 continue
             since = self._empty_since.setdefault(key, now)
-            if now - since > IDLE_SHARD_S:
+            if now - since > IDLE_SHARD_TIMEOUT_S:
                 del self.shards[key]
                 del self._empty_since[key]
 
 
 def _do_nothing() -> None:
-    """Default of callbacks."""
+    """Default of on_new_backends."""
--- a/ramptray/scheduler/main.py
+++ b/ramptray/scheduler/main.py
@@ -20,33 +20,34 @@
     event,
     follower,
     gossip,
+    handler,
     hub,
     poller,
-    servant,
 )
 from ramptray.settings import SchedulerSettings
 
 LOG = logging.getLogger(__name__)
 
-LEAVE_S = 1.0
-"""How long attached processes get to move what waits, in seconds."""
+LEAVE_DELAY_S = 1.0
+"""Time for attached processes to move their waiting requests to another
+scheduler, in seconds."""
 
 
 async def main(settings: SchedulerSettings, stop: process.Stop) -> None:
-    """Serves until a stop is asked for, then leaves its zone in order."""
-    equipment = runtime.make_runtime("scheduler", settings)
-    client, events = equipment.client, equipment.timeline
+    """Serves until a stop is requested, then leaves the zone gracefully."""
+    process_runtime = runtime.make_runtime("scheduler", settings)
+    client, events = process_runtime.client, process_runtime.timeline
     log = log_client.HttpLog(settings.platform, settings.vm)
     me = membership.Member(
         settings.vm, settings.zone, settings.listen, int(time.time())
     )
     rng = random.Random()
-    follow = follower.Follower(
+    bundle_follower = follower.BundleFollower(
         log,
         settings.trust,
         client,
         rng,
-        lambda in_force: _announce(in_force, owner, gossiper),
+        lambda in_force: _adopt_bundle(in_force, owner, gossiper),
     )
     gossiper = gossip.Gossiper(
         me,
@@ -54,31 +55,33 @@
         client,
         rng,
         lambda view: owner.post(event.ViewChanged(view)),
-        lambda lowest: owner.post(event.LowestChanged(lowest)),
-        follow.fetch,
-        follow,
+        lambda lowest: owner.post(event.LowestGenerationChanged(lowest)),
+        bundle_follower.fetch,
+        bundle_follower,
     )
-    desk = claims.ClaimDesk(
+    claim_manager = claims.ClaimManager(
         log,
-        lambda session, decision: owner.post(event.Decided(session, decision)),
+        lambda session, decision: owner.post(
+            event.ClaimDecided(session, decision)
+        ),
     )
     owner = hub.Hub(
         settings.listen,
         settings.zone,
         hub.Options(settings.policy),
         gossiper,
-        desk,
+        claim_manager,
         events,
     )
-    poll = poller.Poller(
+    backend_poller = poller.Poller(
         owner,
         gossiper,
         vmlist.VmList(settings.platform, settings.zone, settings.vm),
         settings.report_every_s,
     )
     server = peer_server.PeerServer(
-        servant.SchedulerServant(owner, gossiper, follow, events),
-        equipment.clock,
+        handler.SchedulerHandler(owner, gossiper, bundle_follower, events),
+        process_runtime.clock,
         settings.tls,
     )
     try:
@@ -89,21 +92,21 @@
     async with anyio.create_task_group() as tasks:
         for task in (
             owner.run,
-            desk.run,
-            follow.run,
+            claim_manager.run,
+            bundle_follower.run,
             gossiper.run,
-            poll.run,
+            backend_poller.run,
         ):
             tasks.start_soon(task)
         await stop.event.wait()
         await gossiper.leave()
-        await anyio.sleep(LEAVE_S)
+        await anyio.sleep(LEAVE_DELAY_S)
         await server.stop()
         await client.close()
         tasks.cancel_scope.cancel()
 
 
-def _announce(
+def _adopt_bundle(
     in_force: acceptance.InForce,
     owner: hub.Hub,
     gossiper: gossip.Gossiper,
@@ -112,7 +115,7 @@
     gossiper.membership.set_generation(in_force.generation, steadyclock.read())
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-scheduler",
     SchedulerSettings,
     main,
--- a/ramptray/scheduler/poller.py
+++ b/ramptray/scheduler/poller.py
@@ -1,4 +1,4 @@
-"""The task that asks engines for their load and the platform for its VMs."""
+"""Polls engines for their load and the platform for its list of VMs."""
 
 from __future__ import annotations
 
@@ -14,49 +14,56 @@
 
 LOG = logging.getLogger(__name__)
 
-VM_LIST_EVERY_S = 2.0
-AT_ONCE = 16
-"""Engines that are asked at the same time."""
+VM_LIST_INTERVAL_S = 2.0
+MAX_CONCURRENT_POLLS = 16
+"""Maximum number of engines polled at the same time."""
 
 
 class Poller:
-    """Polls the backend servers of this scheduler's own shards."""
+    """Polls the platform's VMs and the engines of this scheduler's shards.
+
+    Args:
+        scheduler_hub: Receives the results and names the engines to poll.
+        gossiper: Receives the addresses of schedulers as seeds.
+        vms: The platform's list of VMs.
+        interval_s: Time between two polls of the engines, in seconds.
+    """
 
     def __init__(
         self,
-        target: hub.Hub,
+        scheduler_hub: hub.Hub,
         gossiper: gossip.Gossiper,
         vms: vmlist.VmList,
-        every_s: float,
+        interval_s: float,
     ) -> None:
-        self._hub = target
+        self._hub = scheduler_hub
         self._gossiper = gossiper
         self._vms = vms
-        self._every_s = every_s
+        self._interval_s = interval_s
         self._client = engine_client.EngineClient()
-        self._positions: dict[str, int] = {}
-        self._limit = anyio.CapacityLimiter(AT_ONCE)
+        self._cache_positions: dict[str, int] = {}
+        self._limit = anyio.CapacityLimiter(MAX_CONCURRENT_POLLS)
         self._wake = anyio.Event()
-        target.on_new_backends = self._wake_up
+        scheduler_hub.on_new_backends = self._on_new_backends
 
     async def run(self) -> None:
         """Polls until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._repeat_vms)
-            tasks.start_soon(self._repeat_engines)
+            tasks.start_soon(self._run_vm_list)
+            tasks.start_soon(self._run_engines)
 
-    def _wake_up(self) -> None:
+    def _on_new_backends(self) -> None:
         self._wake.set()
 
-    async def _repeat_vms(self) -> None:
+    async def _run_vm_list(self) -> None:
         while True:
             await self._poll_vms()
-            await anyio.sleep(VM_LIST_EVERY_S)
+            await anyio.sleep(VM_LIST_INTERVAL_S)
 
-    async def _repeat_engines(self) -> None:
+    async def _run_engines(self) -> None:
         while True:
             await self._poll_engines()
-            with anyio.move_on_after(self._every_s):
+            with anyio.move_on_after(self._interval_s):
                 await self._wake.wait()
             self._wake = anyio.Event()
 
@@ -64,7 +71,7 @@
         try:
             listed = await self._vms.fetch()
         except log_client.PlatformError as error:
-            LOG.info("list of VMs: %s", error)
+            LOG.info("could not fetch the list of VMs: %s", error)
             return
         schedulers = [vm.address for vm in listed if vm.role == "entry"]
         self._gossiper.add_seeds(schedulers)
@@ -73,14 +80,14 @@
             for vm in listed
             if vm.role == "backend" and vm.state is vmlist.VmState.LEAVING
         )
-        self._hub.post(event.LeavingListed(leaving))
+        self._hub.post(event.LeavingBackendsListed(leaving))
 
     async def _poll_engines(self) -> None:
         in_force = self._hub.in_force
         if in_force is None:
             return
         async with anyio.create_task_group() as tasks:
-            for name in self._hub.list_own_backends():
+            for name in self._hub.list_owned_backends():
                 server = in_force.bundle.backend_servers.get(name)
                 if server is not None:
                     tasks.start_soon(
@@ -94,19 +101,19 @@
             try:
                 report = await self._client.fetch_load(url)
             except engine_client.EngineError:
-                self._hub.post(event.Reported(name, None))
+                self._hub.post(event.LoadReported(name, None))
                 return
-            self._hub.post(event.Reported(name, report))
+            self._hub.post(event.LoadReported(name, report))
             if _is_model(bundle, name):
                 await self._poll_cache(name, url)
 
     async def _poll_cache(self, name: str, url: str) -> None:
-        after = self._positions.get(name, 0)
+        after = self._cache_positions.get(name, 0)
         try:
             events = await self._client.fetch_cache_events(url, after)
         except engine_client.EngineError:
             return
-        self._positions[name] = events.next
+        self._cache_positions[name] = events.next
         if events.stored or events.removed:
             self._hub.post(event.CacheChanged(name, events))
 
--- a/ramptray/scheduler/rules.py
+++ b/ramptray/scheduler/rules.py
@@ -1,4 +1,4 @@
-"""Turns the bundle in force into what a shard's owner works by."""
+"""Derives a shard's rules and backend servers from the bundle in force."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 ) -> shard_rules.ShardRules:
     """Returns the rules of a shard."""
     service = bundle.services[key.service]
-    parts = service.shards * len(bundle.zones)
+    divisor = service.shards * len(bundle.zones)
     return shard_rules.ShardRules(
-        ranks=bundle.get_ranks(),
+        ranks=bundle.get_tier_ranks(),
         queue_cost=service.queue_tokens // service.shards,
         headroom=service.headroom,
         shares={name: c.share for name, c in bundle.customers.items()},
         version=f"{key.service}@{service.version}",
         limits={
-            name: limit.Rate(
-                _divide(customer.limits.requests_per_s, parts),
-                _divide(customer.limits.tokens_per_s, parts),
-                _divide(customer.limits.burst, parts),
+            name: limit.RateLimit(
+                _divide(customer.limits.requests_per_s, divisor),
+                _divide(customer.limits.tokens_per_s, divisor),
+                _divide(customer.limits.burst, divisor),
                 customer.limits.span_s,
-                customer.limits.span_total / parts,
+                customer.limits.span_total / divisor,
             )
             for name, customer in bundle.customers.items()
             if customer.limits != model.Limits()
@@ -33,13 +33,13 @@
     )
 
 
-def list_infos(
+def list_backend_infos(
     bundle: model.Bundle, key: message.ShardKey
 ) -> list[backend.BackendInfo]:
-    """Returns the backend servers of a shard that may get new work."""
+    """Returns the backend servers of a shard that may receive requests."""
     shards = bundle.services[key.service].shards
     return [
-        make_info(bundle, name)
+        make_backend_info(bundle, name)
         for name, server in bundle.backend_servers.items()
         if server.zone == key.zone
         and server.service == key.service
@@ -48,8 +48,8 @@
     ]
 
 
-def make_info(bundle: model.Bundle, name: str) -> backend.BackendInfo:
-    """Returns what an owner needs to know of a backend server."""
+def make_backend_info(bundle: model.Bundle, name: str) -> backend.BackendInfo:
+    """Returns the facts on a backend server that its shard needs."""
     server = bundle.backend_servers[name]
     engine = bundle.engines[server.engine]
     return backend.BackendInfo(
@@ -66,5 +66,5 @@
     )
 
 
-def _divide(rate: float | None, parts: int) -> float | None:
-    return None if rate is None else rate / parts
+def _divide(rate: float | None, divisor: int) -> float | None:
+    return None if rate is None else rate / divisor
--- a/ramptray/standin/replica/main.py
+++ b/ramptray/standin/replica/main.py
@@ -1,4 +1,4 @@
-"""``ramptray-fake-replica``: a replica that answers, fails, cuts and counts."""
+"""``ramptray-fake-replica``: serves requests, injects faults and counts."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 READ_BYTES = 65536
 STREAM_TYPE = b"text/event-stream"
 
-CRASH_S = 0.08
-"""How long a request that ends this program runs before, in seconds."""
+CRASH_DELAY_S = 0.08
+"""Seconds for which a poison request runs before it crashes this program."""
 
-CRASH_STATUS = 70
+CRASH_EXIT_STATUS = 70
 
 
 class FakeReplicaSettings(model.Model, frozen=True, kw_only=True):
     """Settings of the replica stand-in.
 
     Attributes:
-        name: Its id.
+        name: Id of the replica.
         listen: IP number and port.
-        work_s: How long an answer, or the pause between two events, takes.
-        events: Events of a stream.
-        crash_on: Part of a body that ends this program soon after it has begun
-            to run the request; empty for none.
-        log_level: Least level that is logged.
+        work_s: Seconds before a response, or between two events of a stream.
+        events: Number of events in a stream.
+        crash_on: Text in a request's body that makes this program crash soon
+            after it has started to run the request; empty for none.
+        log_level: Lowest level that is logged.
     """
 
     name: model.Name
@@ -49,21 +49,22 @@
 
 
 class Faults(model.Model, frozen=True, kw_only=True):
-    """Faults that a test sets.
+    """Faults that a test injects.
 
     Attributes:
-        refuse: Answer that the request has not run.
-        refuse_each: Of how many requests one is answered so, if any is.
-        pauses: Values of the header of such an answer that asks for a pause,
-            one header for each.
-        leaving: Say in each answer that it is leaving.
-        fail: Answer with a failure of its own.
-        cut_after: Events after which streams are cut in the middle of one.
-        hang_after: Events after which streams say nothing more.
-        surplus: Send an answer to another request before each answer.
-        unframed: Answer without a length and close.
-        work_s: How long an answer, or a pause, takes from now on.
-        limits: Values of the request limit header, one header for each.
+        refuse: Refuse requests with status 503, marked as not executed.
+        refuse_each: With ``refuse``, refuse only one of this many requests.
+        pauses: Values of the Retry-After header of a refusal, one header for
+            each value.
+        leaving: Announce in each response that the replica is leaving.
+        fail: Respond with status 500.
+        cut_after: Number of events after which a stream's connection is closed
+            in the middle of the next event.
+        hang_after: Number of events after which a stream sends nothing more.
+        surplus: Send a response for another request before each response.
+        unframed: Respond without a content length, then close the connection.
+        work_s: Overrides the setting of the same name, if given.
+        limits: Values of the server limit header, one header for each value.
     """
 
     refuse: bool = False
@@ -80,15 +81,15 @@
 
 
 class Ledger(msgspec.Struct):
-    """What the replica has seen.
+    """Requests that the replica has received.
 
     Attributes:
         runs: Ids of the requests that it ran, in order.
-        heads: Headers of each, in lower case.
+        heads: Headers of each request in ``runs``, names in lower case.
         gone: Ids of the requests whose connection closed while they ran.
-        refused: Ids of the requests that it turned away.
-        arrived: When each request arrived, run or not, on the machine's
-            clock in seconds.
+        refused: Ids of the requests that it refused.
+        arrived: Arrival time of each request, executed or not, in seconds of
+            the machine's monotonic clock.
     """
 
     runs: list[str] = msgspec.field(default_factory=list)
@@ -99,7 +100,7 @@
 
 
 class Replica:
-    """Serves connections, with one request at a time on each."""
+    """Serves connections, one request at a time on each."""
 
     def __init__(self, settings: FakeReplicaSettings) -> None:
         self._settings = settings
@@ -110,7 +111,9 @@
         """Serves one connection until it ends."""
         async with stream:
             try:
-                while await self._serve_one(stream, h11.Connection(h11.SERVER)):
+                while await self._serve_request(
+                    stream, h11.Connection(h11.SERVER)
+                ):
                     pass
             except (
                 anyio.BrokenResourceError,
@@ -119,7 +122,7 @@
             ) as error:
                 LOG.info("connection ended: %r", error)
 
-    async def _serve_one(
+    async def _serve_request(
         self, stream: anyio.abc.SocketStream, http: h11.Connection
     ) -> bool:
         request = None
@@ -147,15 +150,15 @@
         path = request.target.decode()
         if path == "/faults":
             self._faults = msgspec.json.decode(body, type=Faults)
-            await _send(stream, 200, b"", [])
+            await _send_response(stream, 200, b"", [])
             return True
         if path == "/ledger":
-            seen = json.dumps(msgspec.to_builtins(self._ledger)).encode()
-            await _send(stream, 200, seen, [])
+            ledger = json.dumps(msgspec.to_builtins(self._ledger)).encode()
+            await _send_response(stream, 200, ledger, [])
             return True
-        return await self._answer(stream, http, path, headers, body)
+        return await self._respond(stream, http, path, headers, body)
 
-    async def _answer(
+    async def _respond(
         self,
         stream: anyio.abc.SocketStream,
         http: h11.Connection,
@@ -164,22 +167,33 @@
         body: bytes,
     ) -> bool:
         faults = self._faults
-        request_id = headers[header.ID.decode()]
-        own = [(header.ID, request_id.encode())]
-        own += [(header.LIMIT, value.encode()) for value in faults.limits]
-        own += [(header.LEAVING, b"1")] if faults.leaving else []
-        self._note_arrival(request_id)
-        if headers.get(header.BACKEND.decode()) != self._settings.name:
-            await _send(stream, 421, b"", own)
+        request_id = headers[header.REQUEST_ID.decode()]
+        response_headers = [(header.REQUEST_ID, request_id.encode())]
+        response_headers += [
+            (header.SERVER_LIMIT, value.encode()) for value in faults.limits
+        ]
+        response_headers += (
+            [(header.SERVER_LEAVING, b"1")] if faults.leaving else []
+        )
+        self._record_arrival(request_id)
+        if headers.get(header.EXPECTED_BACKEND.decode()) != self._settings.name:
+            await _send_response(stream, 421, b"", response_headers)
             return True
         if (
             faults.refuse
             and len(self._ledger.arrived) % faults.refuse_each == 0
         ):
-            own += [(header.PAUSE, value.encode()) for value in faults.pauses]
+            response_headers += [
+                (header.RETRY_AFTER, value.encode()) for value in faults.pauses
+            ]
             self._ledger.refused.append(request_id)
-            await _send(stream, 503, b"", [*own, (header.NOT_RUN, b"1")])
-            now = steadyclock.read_running()
+            await _send_response(
+                stream,
+                503,
+                b"",
+                [*response_headers, (header.NOT_EXECUTED, b"1")],
+            )
+            now = steadyclock.read_monotonic()
             LOG.info(
                 "refused",
                 extra={
@@ -189,7 +203,8 @@
                 },
             )
             return True
-        # Logged at once, so that it is known also if this program is killed.
+        # Logged before the work, so that the run is on record even if this
+        # program is killed.
         LOG.info("running", extra={"request_id": request_id})
         self._ledger.runs.append(request_id)
         self._ledger.heads.append(headers)
@@ -198,36 +213,41 @@
         ):
             await self._crash(request_id)
         signed = [
-            *own,
+            *response_headers,
             (header.SIGNATURE, f"{self._settings.name}.{path}".encode()),
         ]
         if path.startswith("/stream"):
             return await self._stream(stream, http, headers, signed)
         try:
-            await self._work(stream, request_id)
+            await self._simulate_work(stream, request_id)
         except anyio.EndOfStream:
             return False
         if faults.surplus:
-            other = [(header.ID, b"other"), (header.SIGNATURE, b"other")]
-            await stream.send(_format(200, b"surplus", other))
-        answer = json.dumps({"path": path, "bytes": len(body)}).encode()
+            other = [
+                (header.REQUEST_ID, b"other"),
+                (header.SIGNATURE, b"other"),
+            ]
+            await stream.send(_format_response(200, b"surplus", other))
+        payload = json.dumps({"path": path, "bytes": len(body)}).encode()
         if faults.unframed:
-            await stream.send(_format(200, answer, signed, framed=False))
+            await stream.send(
+                _format_response(200, payload, signed, framed=False)
+            )
             return False
         status = 500 if faults.fail else 200
-        await _send(stream, status, answer, signed)
+        await _send_response(stream, status, payload, signed)
         return True
 
-    def _note_arrival(self, request_id: str) -> None:
-        now = steadyclock.read_running()
+    def _record_arrival(self, request_id: str) -> None:
+        now = steadyclock.read_monotonic()
         self._ledger.arrived.append(now)
         LOG.info("arrived", extra={"request_id": request_id, "at": now})
 
     async def _crash(self, request_id: str) -> None:
-        """Ends this program with all that runs in it."""
-        await anyio.sleep(CRASH_S)
+        """Exits the process, which ends all requests that run in it."""
+        await anyio.sleep(CRASH_DELAY_S)
         LOG.error("crashed", extra={"request_id": request_id})
-        os._exit(CRASH_STATUS)
+        os._exit(CRASH_EXIT_STATUS)
 
     async def _stream(
         self,
@@ -245,10 +265,12 @@
             ],
         )
         await stream.send(http.send(head) or b"")
-        begin = int(headers.get(header.LAST_EVENT.decode(), "0"))
-        for number in range(begin + 1, self._settings.events + 1):
+        last_event = int(headers.get(header.LAST_EVENT.decode(), "0"))
+        for number in range(last_event + 1, self._settings.events + 1):
             try:
-                await self._work(stream, headers[header.ID.decode()])
+                await self._simulate_work(
+                    stream, headers[header.REQUEST_ID.decode()]
+                )
             except anyio.EndOfStream:
                 return False
             if self._faults.hang_after == number - 1:
@@ -262,10 +284,10 @@
         http.start_next_cycle()
         return True
 
-    async def _work(
+    async def _simulate_work(
         self, stream: anyio.abc.SocketStream, request_id: str
     ) -> None:
-        """Works for a while; notes it if the caller goes meanwhile."""
+        """Waits for the configured time; records callers that disconnect."""
         work_s = self._faults.work_s
         if work_s is None:
             work_s = self._settings.work_s
@@ -277,22 +299,25 @@
                 raise anyio.EndOfStream from error
 
 
-async def _send(
+async def _send_response(
     stream: anyio.abc.SocketStream,
     status: int,
     body: bytes,
     headers: list[tuple[bytes, bytes]],
 ) -> None:
-    await stream.send(_format(status, body, headers))
+    await stream.send(_format_response(status, body, headers))
 
 
-def _format(
+def _format_response(
     status: int,
     body: bytes,
     headers: list[tuple[bytes, bytes]],
     framed: bool = True,
 ) -> bytes:
-    """Returns an answer's bytes; the parser would not let faults through."""
+    """Returns the bytes of a response.
+
+    They are built by hand because h11 would refuse to send faulty ones.
+    """
     lines = [f"HTTP/1.1 {status} Stand-in".encode()]
     lines.extend(name + b": " + value for name, value in headers)
     if framed:
@@ -301,17 +326,17 @@
 
 
 async def main(settings: FakeReplicaSettings, stop: process.Stop) -> None:
-    """Serves until a stop is asked for."""
+    """Serves until a stop is requested."""
     replica = Replica(settings)
     host, port = split_address(settings.listen)
-    opened = await anyio.create_tcp_listener(local_host=host, local_port=port)
+    listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(opened.serve, replica.handle)
+        tasks.start_soon(listener.serve, replica.handle)
         await stop.event.wait()
         tasks.cancel_scope.cancel()
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-fake-replica",
     FakeReplicaSettings,
     main,
