--- a/ramptray/standin/store/main.py
+++ b/ramptray/standin/store/main.py
@@ -1,4 +1,4 @@
-"""``ramptray-fake-store``: the users' store as far as ramptray uses it."""
+"""``ramptray-fake-store``: the part of the users' store that ramptray uses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 OK = 200
 PRECONDITION_FAILED = 412
 GONE = 410
-BUSY = 503
+SERVICE_UNAVAILABLE = 503
 
 
 class FakeStoreSettings(model.Model, frozen=True, kw_only=True):
@@ -25,7 +25,7 @@
 
     Attributes:
         listen: IP number and port.
-        log_level: Least level that is logged.
+        log_level: Lowest level that is logged.
     """
 
     listen: Address
@@ -33,13 +33,14 @@
 
 
 class Faults(model.Model, frozen=True, kw_only=True):
-    """Faults that a test sets.
+    """Faults that a test injects.
 
     Attributes:
-        busy: Whether each call is turned away.
-        silent: Whether calls that arrive now never get an answer, also not
-            later; those that wait already are answered.
-        forgotten: Records before this offset are not kept any more.
+        busy: Whether each call is refused with status 503.
+        silent: Whether calls that arrive from now on never get a response,
+            even after the fault is cleared. Reads that were already waiting
+            get theirs.
+        forgotten: Offset before which records are no longer retained.
     """
 
     busy: bool = False
@@ -47,31 +48,31 @@
     forgotten: model.Count = 0
 
 
-class Loss(model.Model, frozen=True, kw_only=True):
-    """What a store that comes back from an older copy has lost.
+class Rollback(model.Model, frozen=True, kw_only=True):
+    """What a store loses when it is restored from an older copy.
 
     Attributes:
-        records: The newest records of each topic, so many.
+        records: Number of records lost from the end of each topic.
     """
 
     records: model.Count
 
 
 class Topic:
-    """One keyed topic with a single part."""
+    """A keyed topic with a single partition."""
 
     def __init__(self) -> None:
         self.records: list[tuple[str, bytes]] = []
         self.changed = anyio.Event()
 
-    def lose(self, count: int) -> None:
-        """Drops the newest records; their offsets are given out again."""
+    def drop_newest(self, count: int) -> None:
+        """Drops the newest records; later records reuse their offsets."""
         del self.records[max(0, len(self.records) - count) :]
         self.changed.set()
         self.changed = anyio.Event()
 
     def append(self, key: str, value: bytes) -> None:
-        """Adds a record; an empty value drops the key."""
+        """Appends a record; an empty value deletes the key."""
         self.records.append((key, value))
         self.changed.set()
         self.changed = anyio.Event()
@@ -87,13 +88,13 @@
 
 
 class Store:
-    """The stand-in's HTTP interface."""
+    """The HTTP interface of the store stand-in."""
 
     def __init__(self) -> None:
         self._faults = Faults()
         self._topics: dict[str, Topic] = collections.defaultdict(Topic)
         self._calls = 0
-        self._era = 1
+        self._generation = 1
 
     def make_app(self) -> applications.Starlette:
         """Returns the HTTP application."""
@@ -105,8 +106,8 @@
                     store.APPEND_PATH, self._append, methods=["POST"]
                 ),
                 routing.Route("/faults", self._set_faults, methods=["PUT"]),
-                routing.Route("/loss", self._lose, methods=["PUT"]),
-                routing.Route("/ledger", self._show_ledger),
+                routing.Route("/loss", self._roll_back, methods=["PUT"]),
+                routing.Route("/ledger", self._show_call_count),
                 routing.Route(
                     "/records/{topic}/{key:path}", self._put, methods=["PUT"]
                 ),
@@ -120,42 +121,44 @@
 
     async def _append(self, http: requests.Request) -> responses.Response:
         self._calls += 1
-        if refused := await self._turn_away(http):
+        if refused := await self._apply_faults(http):
             return refused
         topic = self._topics[http.query_params["topic"]]
         body = await http.body()
         offset = len(topic.records)
-        wanted = http.query_params.get("asOf")
-        if wanted is not None and int(wanted) != offset:
+        expected = http.query_params.get("asOf")
+        if expected is not None and int(expected) != offset:
             return responses.Response(status_code=PRECONDITION_FAILED)
         while body:
-            (length,) = page.LENGTH.unpack_from(body)
-            record = body[page.LENGTH.size :][:length]
-            body = body[page.LENGTH.size + length :]
+            (length,) = page.RECORD_LENGTH.unpack_from(body)
+            record = body[page.RECORD_LENGTH.size :][:length]
+            body = body[page.RECORD_LENGTH.size + length :]
             key_end = 1 + record[0]
             topic.append(record[1:key_end].decode(), record[key_end:])
-        told = {"offset": offset, "end": len(topic.records)}
-        return self._answer(msgspec.json.encode(told))
+        result = {"offset": offset, "end": len(topic.records)}
+        return self._make_response(msgspec.json.encode(result))
 
-    async def _lose(self, http: requests.Request) -> responses.Response:
-        """Comes back from a copy that lacks the newest records."""
-        loss = msgspec.json.decode(await http.body(), type=Loss)
-        self._era += 1
+    async def _roll_back(self, http: requests.Request) -> responses.Response:
+        """Restores the store from a copy that lacks the newest records."""
+        rollback = msgspec.json.decode(await http.body(), type=Rollback)
+        self._generation += 1
         for topic in self._topics.values():
-            topic.lose(loss.records)
+            topic.drop_newest(rollback.records)
         return responses.Response(status_code=OK)
 
     async def _set_faults(self, http: requests.Request) -> responses.Response:
         self._faults = msgspec.json.decode(await http.body(), type=Faults)
         return responses.Response(status_code=OK)
 
-    async def _show_ledger(self, http: requests.Request) -> responses.Response:
-        """Returns how many calls VMs have made."""
+    async def _show_call_count(
+        self, http: requests.Request
+    ) -> responses.Response:
+        """Returns the number of calls made by VMs."""
         return responses.JSONResponse({"calls": self._calls})
 
     async def _read_newest(self, http: requests.Request) -> responses.Response:
         self._calls += 1
-        if refused := await self._turn_away(http):
+        if refused := await self._apply_faults(http):
             return refused
         topic = self._topics[http.query_params["topic"]]
         newest = page.NewestPage(
@@ -165,58 +168,68 @@
             ],
             len(topic.records),
         )
-        return self._answer(page.encode_newest(newest))
+        return self._make_response(page.encode_newest(newest))
 
-    async def _turn_away(
+    async def _apply_faults(
         self, http: requests.Request
     ) -> responses.Response | None:
-        """Returns the answer to a call that is turned away, if this one is."""
+        """Returns the response to a call that is refused because of a fault.
+
+        Returns None if the call is to be served. While the store is silent,
+        a call waits here until its caller disconnects.
+        """
         if self._faults.silent:
-            await _wait_until_gone(http)
-        return self._answer(status=BUSY) if self._faults.busy else None
+            await _wait_for_disconnect(http)
+        return (
+            self._make_response(status=SERVICE_UNAVAILABLE)
+            if self._faults.busy
+            else None
+        )
 
-    def _answer(
+    def _make_response(
         self, body: bytes = b"", status: int = OK
     ) -> responses.Response:
-        """Returns an answer that names the copy the store speaks from."""
-        named = {store.GENERATION_HEADER: str(self._era)}
-        return responses.Response(body, status, named)
+        """Returns a response whose header carries the store's generation."""
+        headers = {store.GENERATION_HEADER: str(self._generation)}
+        return responses.Response(body, status, headers)
 
     async def _read(self, http: requests.Request) -> responses.Response:
         self._calls += 1
         topic = self._topics[http.query_params["topic"]]
         offset = int(http.query_params["from"])
-        wait_s = int(http.query_params.get(store.WAIT_FIELD, "0")) / 1000
+        wait_s = int(http.query_params.get(store.WAIT_PARAMETER, "0")) / 1000
         if self._faults.silent:
-            await _wait_until_gone(http)
-        era = self._era
+            await _wait_for_disconnect(http)
+        generation = self._generation
         if len(topic.records) == offset and not self._faults.busy:
             with anyio.move_on_after(wait_s):
                 await topic.changed.wait()
-        if self._faults.busy or era != self._era:
-            return self._answer(status=BUSY)
+        if self._faults.busy or generation != self._generation:
+            return self._make_response(status=SERVICE_UNAVAILABLE)
         if not self._faults.forgotten <= offset <= len(topic.records):
-            return self._answer(status=GONE)
+            return self._make_response(status=GONE)
         records = [
             bytes([len(key)]) + key.encode() + value
             for key, value in topic.records[offset:]
         ]
-        head = page.POSITIONS.pack(len(topic.records), self._faults.forgotten)
+        page_header = page.PAGE_HEADER.pack(
+            len(topic.records), self._faults.forgotten
+        )
         body = b"".join(
-            page.LENGTH.pack(len(record)) + record for record in records
+            page.RECORD_LENGTH.pack(len(record)) + record for record in records
         )
-        return self._answer(head + body)
+        return self._make_response(page_header + body)
 
 
-async def _wait_until_gone(http: requests.Request) -> None:
-    """Leaves a call without an answer; its connection stays open."""
+async def _wait_for_disconnect(http: requests.Request) -> None:
+    """Waits until the caller disconnects, without sending a response."""
     message = await http.receive()
     while message["type"] != "http.disconnect":
         message = await http.receive()
 
 
 async def main(settings: FakeStoreSettings, stop: process.Stop) -> None:
-    """Serves until a stop is asked for."""
+    """Serves until a stop is requested."""
     server = webserver.make_server(Store().make_app())
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.serve, [webserver.bind(settings.listen)])
@@ -224,7 +237,7 @@
         tasks.cancel_scope.cancel()
 
 
-run = process.make_program(
+run = process.make_command(
     "ramptray-fake-store",
     FakeStoreSettings,
     main,
--- a/test/test_keeper.py
+++ b/test/test_block_sync.py
@@ -1,4 +1,4 @@
-"""Blocks that VMs which do not hear one another tell each other by the log."""
+"""Exchange of blocks through the log, between VMs that are partitioned."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ramptray import steadyclock
 from ramptray.core import blocklist
 from ramptray.log import blocklog, error
-from ramptray.scheduler import keeper
+from ramptray.scheduler import block_sync
 
 pytestmark = pytest.mark.anyio
 
@@ -22,11 +22,11 @@
 
 
 class Log(blocklog.BlockLog):
-    """Keeps blocks in memory.
+    """Stores blocks in memory.
 
     Attributes:
-        reads: How often it was read.
-        is_down: Whether it answers nothing.
+        reads: Number of loads.
+        is_down: Whether all calls fail.
     """
 
     def __init__(self) -> None:
@@ -47,21 +47,21 @@
 
 
 class Vm:
-    """What a VM knows and who keeps it."""
+    """A VM's blocks and their sync with the log."""
 
-    def __init__(self, log: Log, loads: bool = False) -> None:
+    def __init__(self, log: Log, load_at_start: bool = False) -> None:
         self.blocks = blocklist.Blocklist()
-        self.keeper = keeper.BlockKeeper(log, self.blocks, loads)
+        self.sync = block_sync.BlockSync(log, self.blocks, load_at_start)
 
     def knows(self, content: str) -> bool:
-        return self.blocks.get_left(content, steadyclock.read()) > 0
+        return self.blocks.get_remaining_s(content, steadyclock.read()) > 0
 
 
 @contextlib.asynccontextmanager
 async def run(*vms: Vm) -> AsyncIterator[None]:
     async with anyio.create_task_group() as tasks:
         for vm in vms:
-            tasks.start_soon(vm.keeper.run)
+            tasks.start_soon(vm.sync.run)
         yield
         tasks.cancel_scope.cancel()
 
@@ -72,33 +72,31 @@
             await anyio.sleep(0.01)
 
 
-async def test_a_vm_beyond_a_cut_learns_of_a_block_with_its_first_crash() -> (
-    None
-):
+async def test_a_partitioned_vm_loads_a_block_after_its_first_crash() -> None:
     log = Log()
-    here, beyond = Vm(log), Vm(log)
-    async with run(here, beyond):
+    here, partitioned = Vm(log), Vm(log)
+    async with run(here, partitioned):
         here.blocks.block("p", 3, steadyclock.read())
         await wait_for(lambda: "p" in log.kept)
-        assert not beyond.knows("p")
-        beyond.keeper.read_soon()
-        await wait_for(lambda: beyond.knows("p"))
+        assert not partitioned.knows("p")
+        partitioned.sync.request_reload()
+        await wait_for(lambda: partitioned.knows("p"))
 
 
-async def test_waves_of_crashes_read_the_log_seldom() -> None:
+async def test_a_wave_of_crashes_causes_few_loads() -> None:
     log = Log()
     vm = Vm(log)
     async with run(vm):
         for _ in range(50):
-            vm.keeper.read_soon()
+            vm.sync.request_reload()
             await anyio.sleep(0.01)
     assert log.reads <= 2
 
 
-async def test_a_block_is_kept_once_the_log_is_back() -> None:
+async def test_a_block_is_saved_once_the_log_is_back() -> None:
     log = Log()
     log.is_down = True
-    vm = Vm(log, loads=True)
+    vm = Vm(log, load_at_start=True)
     async with run(vm):
         vm.blocks.block("p", 3, steadyclock.read())
         await anyio.sleep(0.3)
--- a/test/test_scenario.py
+++ b/test/test_scenario.py
@@ -62,7 +62,7 @@
         """Performs an entry's effects."""
         for effect in effects:
             match effect:
-                case request.Tell(owner, told) if owner in self.owners:
+                case request.SendToOwner(owner, told) if owner in self.owners:
                     self.take(
                         owner,
                         self.owners[owner].receive("entry", told, self.now),
@@ -79,7 +79,7 @@
         self.ran.append(name)
         self.running.append(name)
 
-    def take(self, owner: str, out: list[owner_effect.ToEntry]) -> None:
+    def take(self, owner: str, out: list[owner_effect.SendToEntry]) -> None:
         """Hands an owner's messages to the entry."""
         for effect in out:
             told = effect.message
@@ -158,7 +158,7 @@
 @when("the entry dies")
 def _(world: World) -> None:
     world.entry_alive = False
-    world.owners["A"].lose_entry("entry", world.now)
+    world.owners["A"].detach_entry("entry", world.now)
 
 
 @when(parsers.parse("{seconds:d} seconds pass"))
@@ -294,7 +294,9 @@
             )
             owner.fleet.backends[name].place(info, "entry", "", world.now)
             first = message.FirstToken(info.request_id, 0.22, 400, 0)
-            owner.fleet.backends[name].begin_answer(first, world.now + 0.22)
+            owner.fleet.backends[name].record_first_token(
+                first, world.now + 0.22
+            )
             ended = message.Ended(info.request_id, 20, 0.4, True)
             owner.fleet.backends[name].end(ended, world.now)
 
@@ -345,13 +347,13 @@
                 self.append(claim.RecordKind.RELEASE, number)
 
     def append(self, kind: claim.RecordKind, number: int) -> None:
-        self.ledger.read(claim.ClaimRecord(kind, "key", str(number), "d"))
+        self.ledger.apply(claim.ClaimRecord(kind, "key", str(number), "d"))
 
     def decide(self, number: int) -> None:
-        verdict = self.ledger.judge("key", str(number), "d")
+        verdict = self.ledger.get_claim_status("key", str(number), "d")
         if verdict is None:
             return
-        held = verdict is claim.Verdict.HELD
+        held = verdict is claim.ClaimStatus.HELD
         finish = None if held else claim.make_finish(verdict)
         self.perform(number, self.machines[number].decide_claim(held, finish))
 
@@ -390,7 +392,7 @@
 
 @when("its deadline passes")
 def _(keys: KeyWorld) -> None:
-    gave_up = keys.machines[0].give_up(message.Reason.LOG_UNAVAILABLE, 1.0)
+    gave_up = keys.machines[0].reject(message.Reason.LOG_UNAVAILABLE, 1.0)
     keys.perform(0, gave_up)
 
 
@@ -494,7 +496,7 @@
 
     def read(self, number: int) -> None:
         for offset, record in enumerate(self.log):
-            self.ones[number].read(offset, record, self.now)
+            self.ones[number].apply_record(offset, record, self.now)
 
 
 @given("two controllers contend for a lease", target_fixture="leases")
@@ -507,7 +509,7 @@
 @when("the first holds the lease")
 def _(leases: LeaseWorld) -> None:
     leases.let_run(0, 3.0, log_up=True)
-    assert leases.ones[0].may_order(leases.now)
+    assert leases.ones[0].may_send_order(leases.now)
 
 
 @when(
@@ -518,13 +520,13 @@
 def _(leases: LeaseWorld, seconds: int) -> None:
     leases.let_run(0, 3.0, log_up=True)
     leases.read(1)
-    assert leases.ones[0].may_order(leases.now)
+    assert leases.ones[0].may_send_order(leases.now)
     leases.let_run(1, seconds, log_up=True)
 
 
 @when("the second takes the lease")
 def _(leases: LeaseWorld) -> None:
-    assert leases.ones[1].may_order(leases.now)
+    assert leases.ones[1].may_send_order(leases.now)
 
 
 @when(parsers.parse("the log is down for {seconds:d} seconds"))
@@ -534,19 +536,19 @@
 
 @then("the first may give no order when it wakes up")
 def _(leases: LeaseWorld) -> None:
-    assert not leases.ones[0].may_order(leases.now)
+    assert not leases.ones[0].may_send_order(leases.now)
     leases.read(0)
-    assert not leases.ones[0].may_order(leases.now)
+    assert not leases.ones[0].may_send_order(leases.now)
 
 
 @then("the second's fencing number is higher")
 def _(leases: LeaseWorld) -> None:
-    assert leases.ones[1].fencing > leases.ones[0].fencing
+    assert leases.ones[1].fencing_token > leases.ones[0].fencing_token
 
 
 @then("nobody may give orders")
 def _(leases: LeaseWorld) -> None:
-    assert not any(one.may_order(leases.now) for one in leases.ones)
+    assert not any(one.may_send_order(leases.now) for one in leases.ones)
 
 
 # Bundles.
@@ -580,20 +582,20 @@
 
     first: signature.Envelope
     log: list[acceptance.Record]
-    readers: list[acceptance.Acceptance]
+    readers: list[acceptance.RolloutLogTracker]
     rivals: list[signature.Envelope]
-    cut_off: acceptance.Acceptance | None = None
+    cut_off: acceptance.RolloutLogTracker | None = None
 
     def publish(self, record: acceptance.Record) -> None:
         self.log.append(record)
         for reader in self.readers:
-            reader.read(len(self.log) - 1, record)
+            reader.apply(len(self.log) - 1, record)
 
 
 @given("a bundle in force", target_fixture="bundles")
 def _() -> BundleWorld:
     first = make_envelope(1, None, "first")
-    readers = [acceptance.Acceptance(TRUST) for _ in range(2)]
+    readers = [acceptance.RolloutLogTracker(TRUST) for _ in range(2)]
     made = BundleWorld(first, [], readers, [])
     made.publish(acceptance.Rollout(first))
     return made
@@ -601,8 +603,8 @@
 
 @given("a reader that was cut off")
 def _(bundles: BundleWorld) -> None:
-    bundles.cut_off = acceptance.Acceptance(TRUST)
-    bundles.cut_off.read(0, bundles.log[0])
+    bundles.cut_off = acceptance.RolloutLogTracker(TRUST)
+    bundles.cut_off.apply(0, bundles.log[0])
 
 
 @when("two rivals are published on it")
@@ -627,7 +629,7 @@
     bundles.publish(acceptance.Checkpoint(bundles.rivals[0], 1))
     bundles.cut_off.skip_to(2)
     for offset in (2, 3):
-        bundles.cut_off.read(offset, bundles.log[offset])
+        bundles.cut_off.apply(offset, bundles.log[offset])
 
 
 @then("both readers have the first in force")
@@ -639,8 +641,8 @@
 
 @then("the second is told to rebase")
 def _(bundles: BundleWorld) -> None:
-    verdict = bundles.readers[0].verdicts[bundles.rivals[1].digest]
-    assert verdict is acceptance.Verdict.WRONG_BASE
+    verdict = bundles.readers[0].statuses[bundles.rivals[1].digest]
+    assert verdict is acceptance.RolloutStatus.WRONG_BASE
 
 
 @then("the reader that was cut off has the first in force")
@@ -653,6 +655,6 @@
 @then("an older bundle from a peer changes nothing")
 def _(bundles: BundleWorld) -> None:
     assert bundles.cut_off is not None
-    assert not bundles.cut_off.learn(bundles.first)
+    assert not bundles.cut_off.apply_peer_bundle(bundles.first)
     assert bundles.cut_off.in_force is not None
     assert bundles.cut_off.in_force.envelope == bundles.rivals[0]
